--- a/core/raft/bench_test.go
+++ b/core/raft/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkCommit replicates entries of 150 bytes, 64 in a batch, through
-// groups in memory. One operation is one entry, committed at every replica.
+// BenchmarkCommit replicates entries of 150 bytes, 64 in a batch, through groups in memory. One
+// operation is one entry, committed at every replica.
 func BenchmarkCommit(b *testing.B) {
 	const batch = 64
 	for _, n := range []int{1, 3, 5, 7} {
@@ -25,7 +25,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				s.perform(l, e)
+				s.performEffects(l, e)
 				s.step()
 				s.step()
 			}
--- a/core/raft/raft.go
+++ b/core/raft/raft.go
@@ -1,9 +1,9 @@
-// Package raft is the replicated log: a pure state machine that elects a
-// leader and agrees on one sequence of entries.
+// Package raft implements the Raft consensus algorithm as a state machine without I/O: leader
+// election, log replication, snapshots and single-server membership changes.
 //
-// It reads no clock, socket or file. Each call takes the time and returns
-// Effects, which the caller carries out in order. What a replica promises counts on
-// its records being synced, and only that waits for them: see Synced.
+// It reads no clock, socket or file. Each call takes the current time and returns Effects,
+// which the caller carries out in the order of their fields. Messages that rely on synced
+// records are returned apart from the others, and only they wait for the disk; see WriteSynced.
 package raft
 
 import (
@@ -17,26 +17,27 @@
 )
 
 var (
-	// ErrNotLeader is returned for proposals to a replica that doesn't lead.
+	// ErrNotLeader is returned for a proposal to a replica that is not the leader or is
+	// transferring leadership.
 	ErrNotLeader = errors.New("raft: not the leader")
-	// ErrBusy is returned when too many entries wait to be committed or
-	// another membership change does.
+	// ErrBusy is returned when there are too many uncommitted entries or another membership
+	// change is not committed yet.
 	ErrBusy = errors.New("raft: busy")
-	// ErrRefused is returned for a membership change that would be unsafe.
+	// ErrRefused is returned for an invalid or unsafe membership change.
 	ErrRefused = errors.New("raft: membership change refused")
-	// ErrDiverged marks a message that contradicts a committed entry. The
-	// replica must stop: either its disk or another replica's lost entries.
+	// ErrDiverged reports a message that contradicts a committed entry. The replica must stop:
+	// its own disk or another replica has lost entries.
 	ErrDiverged = errors.New("raft: log contradicts a committed entry")
 )
 
-// Default times and bounds.
+// Default times and limits.
 const (
-	Heartbeat   = 100 * time.Millisecond // Between two rounds of the leader.
-	Election    = time.Second            // Shortest silence before an election; the longest is twice that.
-	MaxBatch    = 1 << 20                // Bytes of entries in one message.
-	MaxInflight = 16                     // Unanswered messages with entries to one replica.
-	MaxPending  = 4096                   // Entries of the leader that wait to be committed.
-	KeepEntries = 500                    // Entries kept behind a snapshot for replicas that lag a little.
+	DefaultHeartbeatInterval = 100 * time.Millisecond // Between two rounds of AppendEntries.
+	DefaultElectionTimeout   = time.Second            // Minimum; each timeout is drawn from one to two times this.
+	MaxBatchBytes            = 1 << 20                // Bytes of entries in one message.
+	MaxInflight              = 16                     // Unanswered messages with entries to one replica.
+	MaxUncommitted           = 4096                   // Uncommitted entries at the leader.
+	TrailingEntries          = 500                    // Entries kept before a snapshot for replicas that lag slightly.
 )
 
 type role int
@@ -49,269 +50,276 @@
 )
 
 type (
-	// Raft is one replica. Its exported fields are set before Start is called.
+	// Raft is one replica. Its exported fields must be set before Start is called.
 	Raft struct {
 		ID   string     // Identity of the data folder.
-		Rand *rand.Rand // Spreads election timeouts.
-		// Timeout is the shortest silence before an election, the same at all
-		// replicas; heartbeats and the lease go with it. Zero takes Election.
-		Timeout time.Duration
-		// Leaseless says that nobody reads locally under a lease, at any replica of
-		// the group: reads go through the log. Less has to be known then to elect a
-		// leader soon after replicas have started together.
+		Rand *rand.Rand // Randomizes election timeouts and cold-start rounds.
+		// ElectionTimeout is the minimum election timeout and must be the same at all replicas.
+		// The heartbeat interval and the lease scale with it. Zero means
+		// DefaultElectionTimeout.
+		ElectionTimeout time.Duration
+		// Leaseless states that no replica of the group serves local reads under a lease: reads
+		// go through the log. When replicas restart together, answers from a quorum are then
+		// enough to elect a leader early.
 		Leaseless bool
 
-		group   string
-		term    uint64
-		vote    string
-		role    role
-		leader  string
-		log     journal
-		confs   []conf // Memberships by the index that brought them, oldest first.
-		commit  uint64
-		applied uint64 // Last entry given out in Effects.
-		synced  uint64 // Last entry that is on this replica's disk.
-		writes  mark   // Last entry of what is being written.
-		stalled bool   // The disk takes nothing.
-		told    uint64 // Highest commit index that a leader named.
-
-		now     time.Time
-		skew    time.Duration // Sum of the steps that the clock took back.
-		start   time.Time
-		heard   time.Time // When the promise to a leader began; see promised.
-		electAt time.Time
-		beatAt  time.Time
-
-		votes    map[string]bool
-		peers    map[string]*progress // Leader only: the other replicas.
-		since    time.Time            // Leader only: start of the term, or of the time after a gap.
-		transfer string               // Leader only: replica that is to lead next.
-		sent     bool                 // Leader only: told the next one to start, so the lease is given up.
-		leaveAt  time.Time            // Leader only: when a transfer is given up.
-		cold     cold
-		pauses   pauses
-		reach    reach
+		group        string
+		term         uint64
+		votedFor     string
+		role         role
+		leaderID     string
+		log          raftLog
+		memberships  []membership // Each with the index of the entry that set it, oldest first.
+		commitIndex  uint64
+		applied      uint64      // Last entry returned in Effects.
+		syncedIndex  uint64      // Last entry on this replica's disk.
+		writing      logPosition // Last entry of the write under way.
+		diskStalled  bool        // The disk accepts no writes for now.
+		leaderCommit uint64      // Highest commit index received from a leader.
+
+		now               time.Time
+		skew              time.Duration // Added to the caller's time to undo backward steps of the clock.
+		startedAt         time.Time
+		lastLeaderContact time.Time // Also set by Start and after a clock gap; see heardLeaderRecently.
+		electionDeadline  time.Time
+		nextHeartbeat     time.Time
+
+		votes            map[string]bool
+		peers            map[string]*progress // Leader only: the other replicas.
+		leaderSince      time.Time            // Leader only: start of the term or end of the last clock gap.
+		transferTarget   string               // Leader only: replica that is to lead next.
+		timeoutNowSent   bool                 // Leader only: the target was told to start, so the lease is given up.
+		transferDeadline time.Time            // Leader only: when it steps down if the target has not taken over.
+		coldStart        coldStart
+		pauses           pauses
+		contacts         contacts
 
 		out Effects
 	}
 
-	// mark is the place of an entry. Logs that agree in it agree in all before it.
-	mark struct{ index, term uint64 }
+	// logPosition identifies an entry. Logs that share a position are identical up to it.
+	logPosition struct{ index, term uint64 }
 
-	// Effects is what the caller must do after a call, in the order of the fields.
+	// Effects lists the work for the caller after a call, in the order of the fields.
 	Effects struct {
-		Install   *wire.Snapshot // Replaces the state machine, and on disk, with Tail, the whole log.
-		Records   []*wire.Record // To append and sync; part of Tail when Install is set.
-		Messages  []*wire.Raft   // To send; losing some is harmless.
-		Promises  []*wire.Raft   // To send once all records so far are synced; see Writes.
-		Committed []*wire.LogEntry
-		Shifts    []Shift // Changes of role, for the log alone.
-		Err       error   // The replica must stop at once and do nothing else.
+		InstallSnapshot   *wire.Snapshot // Replaces the state machine and, with LogRecords, the whole log on disk.
+		Records           []*wire.Record // To append and sync; part of LogRecords when InstallSnapshot is set.
+		Messages          []*wire.Raft   // To send; message loss is tolerated.
+		MessagesAfterSync []*wire.Raft   // To send once all records so far are synced; see WriteStarted.
+		Committed         []*wire.LogEntry
+		RoleChanges       []RoleChange // For logging only.
+		Err               error        // The replica must stop at once and do nothing else.
 	}
 )
 
-// Start makes the replica of what its disk held: the newest snapshot, or nil,
-// and the records after it, oldest first.
+// Start restores the replica from its disk: the newest snapshot, or nil, and the records after
+// it, oldest first.
 func (r *Raft) Start(now time.Time, snap *wire.Snapshot, recs []*wire.Record) {
-	r.now, r.start = now, now
-	// A replica that restarts has forgotten when it last heard a leader, whose
-	// lease may still count on its promise not to vote. The symptom would be a
-	// stale read at the old leader; a whole promise from now on covers it.
-	r.heard = now
+	r.now, r.startedAt = now, now
+	// After a restart the replica doesn't know when it last heard a leader. The lease of that
+	// leader may still rely on this replica to deny votes, and an early vote would allow stale
+	// reads at the old leader. The replica therefore denies votes for a full election timeout
+	// from now on.
+	r.lastLeaderContact = now
 	if snap != nil {
 		r.group = snap.GetGroup()
 		r.log.reset(snap)
-		r.commit, r.applied = snap.GetIndex(), snap.GetIndex()
+		r.commitIndex, r.applied = snap.GetIndex(), snap.GetIndex()
 		r.term = snap.GetTerm()
 	}
-	r.confs = []conf{{r.commit, snap.GetReplicas()}}
+	r.memberships = []membership{{r.commitIndex, snap.GetReplicas()}}
 	for _, rec := range recs {
-		r.load(rec)
+		r.loadRecord(rec)
 	}
-	r.synced = r.log.last()
-	r.resetTimer()
-	if r.alone() {
-		r.electAt = now // No other replica could object.
+	r.syncedIndex = r.log.lastIndex()
+	r.resetElectionTimer()
+	if r.isOnlyVoter() {
+		r.electionDeadline = now // The only voter needs no other replica's vote.
 	}
-	r.startCold()
+	r.initColdStart()
 }
 
-func (r *Raft) load(rec *wire.Record) {
+func (r *Raft) loadRecord(rec *wire.Record) {
 	switch k := rec.GetKind().(type) {
 	case *wire.Record_Hard:
-		r.term, r.vote = k.Hard.GetTerm(), k.Hard.GetVote()
+		r.term, r.votedFor = k.Hard.GetTerm(), k.Hard.GetVote()
 		if k.Hard.GetGroup() != "" {
 			r.group = k.Hard.GetGroup()
 		}
 	case *wire.Record_TruncateFrom:
-		r.cut(k.TruncateFrom)
+		r.truncateLog(k.TruncateFrom)
 	case *wire.Record_Entry:
-		r.log.load(k.Entry)
-		if k.Entry.GetIndex() > r.commit {
-			r.noteConf(k.Entry)
+		r.log.loadEntry(k.Entry)
+		if k.Entry.GetIndex() > r.commitIndex {
+			r.appendMembership(k.Entry)
 		}
 	}
 }
 
-// Found returns the snapshot that starts a new group. The caller must be sure
-// that no replica in the list belongs to a group already.
-func Found(group string, replicas []*wire.Replica, data []byte) *wire.Snapshot {
+// BootstrapSnapshot returns the first snapshot of a new group. The caller must ensure that none
+// of the replicas belongs to a group already.
+func BootstrapSnapshot(group string, replicas []*wire.Replica, data []byte) *wire.Snapshot {
 	return &wire.Snapshot{Index: 1, Term: 1, Data: data, Replicas: replicas, Group: group}
 }
 
-// Tick lets time pass. It is called several times a heartbeat.
+// Tick advances the time and runs the timers that are due. It must be called several times per
+// heartbeat interval.
 func (r *Raft) Tick(now time.Time) Effects {
-	r.advance(now)
+	r.advanceClock(now)
 	switch {
 	case r.role == leader:
-		r.lead()
-	case !r.now.Before(r.electAt):
-		r.campaign(preCandidate, false, "no leader was heard", nil)
+		r.tickLeader()
+	case !r.now.Before(r.electionDeadline):
+		r.campaign(preCandidate, false, "no leader heard within the election timeout", nil)
 	default:
-		r.askCold()
-		r.askReach()
+		r.beginColdStartRound()
+		r.probeVoters()
 	}
 	return r.flush()
 }
 
-// Step takes a message of another replica.
+// Step handles a message from another replica.
 func (r *Raft) Step(now time.Time, m *wire.Raft) Effects {
-	r.advance(now)
-	// A message for another identity or group comes from a replica whose settings
-	// point at an address that changed hands. Taking it would mix two logs.
+	r.advanceClock(now)
+	// A message for another identity or group comes from a replica whose settings contain an
+	// address that now belongs to a different replica. Accepting it would mix two logs.
 	if m.GetTo() != r.ID || (r.group != "" && m.GetGroup() != r.group) {
 		return r.flush()
 	}
-	r.reach.note(r.now, m.GetFrom())
+	r.contacts.observe(r.now, m.GetFrom())
 	switch m.GetKind() {
 	case wire.Raft_KIND_VOTE:
-		r.voteAsked(m)
+		r.handleVoteRequest(m)
 	case wire.Raft_KIND_VOTE_REPLY:
-		r.voteGot(m)
+		r.handleVoteReply(m)
 	case wire.Raft_KIND_APPEND:
-		r.appendAsked(m)
+		r.handleAppend(m)
 	case wire.Raft_KIND_SNAPSHOT:
-		r.snapshotAsked(m)
+		r.handleSnapshot(m)
 	case wire.Raft_KIND_APPEND_REPLY, wire.Raft_KIND_SNAPSHOT_REPLY:
-		r.appendGot(m)
+		r.handleAppendReply(m)
 	case wire.Raft_KIND_TIMEOUT_NOW:
 		if m.GetTerm() == r.term && r.role == follower {
-			r.campaign(candidate, true, "the leader hands over", m)
+			r.campaign(candidate, true, "the leader transfers leadership", m)
 		}
 	}
 	return r.flush()
 }
 
-// Propose appends commands to the log and returns the index of the first. Once
-// it is committed the entry comes back in Effects, unless the leader changes.
+// Propose appends commands to the log and returns the index of the first. Each entry is
+// returned in Effects once it is committed, unless the leader changes before.
 func (r *Raft) Propose(now time.Time, commands ...[]byte) (uint64, Effects, error) {
-	r.advance(now)
-	if r.role != leader || r.transfer != "" {
+	r.advanceClock(now)
+	if r.role != leader || r.transferTarget != "" {
 		return 0, r.flush(), ErrNotLeader
 	}
-	if r.log.last()+uint64(len(commands)) > r.commit+MaxPending {
+	if r.log.lastIndex()+uint64(len(commands)) > r.commitIndex+MaxUncommitted {
 		return 0, r.flush(), ErrBusy
 	}
-	first := r.log.last() + 1
+	first := r.log.lastIndex() + 1
 	for _, c := range commands {
-		r.appendOwn(&wire.LogEntry{Command: c})
+		r.appendEntry(&wire.LogEntry{Command: c})
 	}
-	r.spread(false)
+	r.replicate(false)
 	return first, r.flush(), nil
 }
 
-// Snapshot returns a snapshot after the last entry given out. The caller sets
-// its data, which may take a while, and hands it to Compact.
+// Snapshot returns a snapshot without data at the last entry returned in Effects. The caller
+// sets the data, which may take a while, and passes the snapshot to Compact.
 func (r *Raft) Snapshot() *wire.Snapshot {
 	term, _ := r.log.term(r.applied)
-	return &wire.Snapshot{Index: r.applied, Term: term, Replicas: r.confAt(r.applied).replicas, Group: r.group}
+	return &wire.Snapshot{Index: r.applied, Term: term, Replicas: r.membershipAt(r.applied).replicas, Group: r.group}
 }
 
-// Compact makes a snapshot the newest one and drops what it covers. The disk
-// must then hold it and Tail in place of the log. One that is older than what a
-// leader has sent meanwhile changes nothing.
+// Compact makes a snapshot the newest one and discards the entries that it covers, except for
+// the last TrailingEntries. The disk must then hold the snapshot and LogRecords in place of the
+// log. A snapshot that is no newer than the current one is ignored: a leader may have sent a
+// newer one meanwhile.
 func (r *Raft) Compact(snap *wire.Snapshot) {
-	if snap.GetIndex() <= r.log.snap.GetIndex() {
+	if snap.GetIndex() <= r.log.snapshot.GetIndex() {
 		return
 	}
-	r.log.snap = snap
-	if snap.GetIndex() > KeepEntries {
-		r.log.dropTo(snap.GetIndex() - KeepEntries)
+	r.log.snapshot = snap
+	if snap.GetIndex() > TrailingEntries {
+		r.log.compactTo(snap.GetIndex() - TrailingEntries)
 	}
-	for len(r.confs) > 1 && r.confs[1].index <= snap.GetIndex() {
-		r.confs = r.confs[1:]
+	for len(r.memberships) > 1 && r.memberships[1].index <= snap.GetIndex() {
+		r.memberships = r.memberships[1:]
 	}
 }
 
-// Tail returns the records that follow the newest snapshot on disk.
-func (r *Raft) Tail() []*wire.Record {
-	recs := []*wire.Record{r.hard()}
+// LogRecords returns the records to store after the newest snapshot: the hard state and all
+// entries in memory.
+func (r *Raft) LogRecords() []*wire.Record {
+	recs := []*wire.Record{r.hardStateRecord()}
 	for _, e := range r.log.entries {
 		recs = append(recs, &wire.Record{Kind: &wire.Record_Entry{Entry: e}})
 	}
 	return recs
 }
 
-// Group is the identity of the group, empty for a replica without one.
+// Group is the identity of the group, empty for a replica that belongs to none.
 func (r *Raft) Group() string { return r.group }
 
-// Term is the newest term that the replica knows.
+// Term is the newest term known to this replica.
 func (r *Raft) Term() uint64 { return r.term }
 
-// Commit is the index of the last committed entry known here.
-func (r *Raft) Commit() uint64 { return r.commit }
+// CommitIndex is the index of the last entry known to be committed.
+func (r *Raft) CommitIndex() uint64 { return r.commitIndex }
 
-// Lags reports whether a leader has named a later commit than this replica
-// knows: it hears the leader and still has the log of before its cut.
-func (r *Raft) Lags() bool { return r.commit < r.told }
+// BehindLeader reports whether a leader has named a higher commit index than this replica has
+// reached, such as after a network partition, when the replica hears the leader again but has
+// yet to catch up.
+func (r *Raft) BehindLeader() bool { return r.commitIndex < r.leaderCommit }
 
-// Leads reports whether this replica is the leader, as far as it knows.
-func (r *Raft) Leads() bool { return r.role == leader }
+// IsLeader reports whether this replica is the leader, as far as it knows.
+func (r *Raft) IsLeader() bool { return r.role == leader }
 
-// Leader is the identity of the leader, empty when none is known.
-func (r *Raft) Leader() string { return r.leader }
+// Leader is the identity of the leader, empty if none is known.
+func (r *Raft) Leader() string { return r.leaderID }
 
-// Heard is what a leader knows of another replica of the group.
-type Heard struct {
+// PeerStatus is the leader's view of another replica of the group.
+type PeerStatus struct {
 	*wire.Replica
-	Silence time.Duration // Since its last answer.
-	Current bool          // It holds all that is committed.
+	Silence  time.Duration // Since its last reply, or since it was added if that is later.
+	CaughtUp bool          // It holds all committed entries.
 }
 
-// Peers lists the other replicas as the leader hears them, none elsewhere.
-func (r *Raft) Peers(now time.Time) []Heard {
-	r.advance(now)
+// Peers returns the status of the other replicas at the leader, and nil at any other replica.
+func (r *Raft) Peers(now time.Time) []PeerStatus {
+	r.advanceClock(now)
 	if r.role != leader {
 		return nil
 	}
-	var list []Heard
+	var list []PeerStatus
 	for _, p := range r.Replicas() {
 		if pr := r.peers[p.GetId()]; pr != nil {
-			since := pr.heard
-			if since.Before(pr.added) {
-				since = pr.added // It has had no time to answer yet.
+			since := pr.lastHeard
+			if since.Before(pr.addedAt) {
+				since = pr.addedAt // A new replica has had no time to reply.
 			}
-			list = append(list, Heard{Replica: p, Silence: r.now.Sub(since), Current: pr.match >= r.commit})
+			list = append(list, PeerStatus{Replica: p, Silence: r.now.Sub(since), CaughtUp: pr.matchIndex >= r.commitIndex})
 		}
 	}
 	return list
 }
 
-// Silence is for how long no leader was heard; for the leader itself, for how
-// long no quorum answered. The second result is false where none ever was.
+// Silence returns the time since a leader was last heard; at the leader, since the last round
+// that a quorum answered. The second result is false if no leader is known or no quorum has
+// answered yet.
 func (r *Raft) Silence(now time.Time) (time.Duration, bool) {
-	r.advance(now)
-	at := r.heard
+	r.advanceClock(now)
+	at := r.lastLeaderContact
 	if r.role == leader {
 		at = r.quorumRound()
 	}
-	return r.now.Sub(at), r.leader != "" && !at.IsZero()
+	return r.now.Sub(at), r.leaderID != "" && !at.IsZero()
 }
 
 func (r *Raft) flush() Effects {
-	for r.applied < r.commit {
+	for r.applied < r.commitIndex {
 		r.applied++
-		if e := r.log.at(r.applied); e != nil {
+		if e := r.log.entry(r.applied); e != nil {
 			r.out.Committed = append(r.out.Committed, e)
 		}
 	}
@@ -320,38 +328,42 @@
 	return out
 }
 
-func (r *Raft) election() time.Duration { return cmp.Or(r.Timeout, Election) }
+func (r *Raft) electionTimeout() time.Duration {
+	return cmp.Or(r.ElectionTimeout, DefaultElectionTimeout)
+}
 
-// lease is Lease for the timeout in use.
-func (r *Raft) lease() time.Duration { return r.election() / (Election / Lease) }
+// leaseDuration is DefaultLeaseDuration scaled to the election timeout in use.
+func (r *Raft) leaseDuration() time.Duration {
+	return r.electionTimeout() / (DefaultElectionTimeout / DefaultLeaseDuration)
+}
 
-// advance moves the replica's time, which never goes back.
-func (r *Raft) advance(now time.Time) {
+// advanceClock moves the replica's time, which never goes back.
+func (r *Raft) advanceClock(now time.Time) {
 	now = now.Add(r.skew)
 	gap := now.Sub(r.now)
 	if gap == 0 {
 		return
 	}
 	if gap < 0 {
-		// A clock that was set back would stop every timer until it is where it
-		// was, and stretch a lease. The replica's own time goes on instead.
+		// A clock that was set back would stop every timer until it reaches its former value,
+		// and would prolong a lease. The replica's own time goes on instead.
 		r.skew += -gap + 1
 		now = r.now.Add(1)
 	}
 	r.now = now
-	r.pauses.note(now, max(gap, 0), r.election())
-	if gap > r.election()/4 || gap < 0 {
-		// The process was frozen or its clock jumped. A follower can't tell how
-		// much of its promise to the leader really passed, so it starts anew;
-		// else a jump would let it vote while that leader still reads locally.
-		// A leader counts only answers to what it sends from now on.
-		r.heard, r.since = now, now
-		r.resetTimer()
+	r.pauses.observe(now, max(gap, 0), r.electionTimeout())
+	if gap > r.electionTimeout()/4 || gap < 0 {
+		// The process was suspended or its clock jumped. A follower can't tell how much of the
+		// time in which it must deny votes has really passed, so that time starts again.
+		// Otherwise a jump would let it vote while the leader still serves local reads. A
+		// leader counts only replies to rounds sent from now on.
+		r.lastLeaderContact, r.leaderSince = now, now
+		r.resetElectionTimer()
 	}
 }
 
-func (r *Raft) hard() *wire.Record {
-	return &wire.Record{Kind: &wire.Record_Hard{Hard: &wire.HardState{Term: r.term, Vote: r.vote, Group: r.group}}}
+func (r *Raft) hardStateRecord() *wire.Record {
+	return &wire.Record{Kind: &wire.Record_Hard{Hard: &wire.HardState{Term: r.term, Vote: r.votedFor, Group: r.group}}}
 }
 
 func (r *Raft) record(rec *wire.Record) { r.out.Records = append(r.out.Records, rec) }
@@ -364,16 +376,16 @@
 	if m.GetTerm() == 0 {
 		m.Term = r.term
 	}
-	if promises(m) {
-		r.out.Promises = append(r.out.Promises, m)
+	if needsSync(m) {
+		r.out.MessagesAfterSync = append(r.out.MessagesAfterSync, m)
 		return
 	}
 	r.out.Messages = append(r.out.Messages, m)
 }
 
-// promises reports whether a message counts on what is on this replica's disk: its
-// vote, for another or itself, or entries that it holds.
-func promises(m *wire.Raft) bool {
+// needsSync reports whether a message relies on records on this replica's disk: its vote, for
+// itself or another, or entries that it holds.
+func needsSync(m *wire.Raft) bool {
 	switch m.GetKind() {
 	case wire.Raft_KIND_VOTE:
 		return !m.GetPreVote()
@@ -386,24 +398,26 @@
 	return false
 }
 
-// Writes says that the caller begins to write all records given out so far. One write
-// is under way at a time; the replica goes on meanwhile.
-func (r *Raft) Writes() { r.writes = mark{r.log.last(), r.log.lastTerm()} }
-
-// Synced says that what the last Writes spoke of is on disk. A leader counts itself
-// for an entry only then, so that it may send the entry on before: with a slow or full
-// disk of its own it commits by the disks of the others.
-func (r *Raft) Synced(now time.Time) Effects {
-	r.advance(now)
-	r.stalled = false
-	// Entries may have been replaced by another leader's during the write.
-	if t, ok := r.log.term(r.writes.index); ok && t == r.writes.term {
-		r.synced = max(r.synced, r.writes.index)
+// WriteStarted tells the replica that the caller starts to write all records returned so far.
+// One write may be under way at a time; other calls may be made meanwhile.
+func (r *Raft) WriteStarted() { r.writing = logPosition{r.log.lastIndex(), r.log.lastTerm()} }
+
+// WriteSynced tells the replica that the records covered by the last WriteStarted are on disk.
+// A leader counts itself towards the quorum for an entry only then, so it can replicate the
+// entry before its own sync: if its disk is slow or full, it commits by the disks of the
+// others.
+func (r *Raft) WriteSynced(now time.Time) Effects {
+	r.advanceClock(now)
+	r.diskStalled = false
+	// Another leader may have replaced the entries during the write.
+	if t, ok := r.log.term(r.writing.index); ok && t == r.writing.term {
+		r.syncedIndex = max(r.syncedIndex, r.writing.index)
 	}
-	r.tryCommit()
+	r.advanceCommit()
 	return r.flush()
 }
 
-// Stall says that the disk takes nothing for now, or not soon. A follower then takes no entries that
-// it can't keep, and says so, so that the leader still hears it.
-func (r *Raft) Stall() { r.stalled = true }
+// DiskStalled tells the replica that the disk accepts no writes for now, or that a write takes
+// too long. A follower then rejects entries that it can't store. It still replies, so the
+// leader knows that it is alive.
+func (r *Raft) DiskStalled() { r.diskStalled = true }
--- a/core/raft/raft_test.go
+++ b/core/raft/raft_test.go
@@ -12,113 +12,114 @@
 	"azurelane/core/wire"
 )
 
-// fault makes one thing go wrong, at random.
-func (s *sim) fault() {
-	n := s.nodes[s.names[s.rnd.IntN(len(s.names))]]
-	o := s.names[s.rnd.IntN(len(s.names))]
+// injectFault makes one thing go wrong, at random.
+func (s *sim) injectFault() {
+	n := s.nodes[s.ids[s.rnd.IntN(len(s.ids))]]
+	o := s.ids[s.rnd.IntN(len(s.ids))]
 	switch s.rnd.IntN(11) {
 	case 0:
 		s.isolate(n.id)
 	case 1:
-		s.cut[[2]string{n.id, o}] = true
+		s.blocked[[2]string{n.id, o}] = true
 	case 2, 3:
-		s.join()
+		s.unblockAll()
 	case 4:
-		n.frozen = s.t + time.Duration(s.rnd.Int64N(int64(4*time.Second)))
+		n.suspendedUntil = s.elapsed + time.Duration(s.rnd.Int64N(int64(4*time.Second)))
 	case 5:
-		n.crash = 1 + s.rnd.IntN(2)
+		n.crashPoint = 1 + s.rnd.IntN(2)
 	case 6:
 		if n.down {
-			s.start(n)
+			s.startNode(n)
 		} else {
 			n.down = true
 		}
 	case 7:
-		n.offset += time.Duration(s.rnd.Int64N(int64(8*time.Second))) - 4*time.Second
+		n.clockOffset += time.Duration(s.rnd.Int64N(int64(8*time.Second))) - 4*time.Second
 	case 8:
 		if l := s.leader(); l != nil {
-			s.perform(l, l.Transfer(l.clock(s)))
+			s.performEffects(l, l.TransferLeadership(l.clock(s)))
 		}
 	case 9:
-		n.full = !n.full
+		n.diskFull = !n.diskFull
 	case 10:
-		n.slow = time.Duration(s.rnd.Int64N(int64(3 * time.Second)))
+		n.maxWriteTime = time.Duration(s.rnd.Int64N(int64(3 * time.Second)))
 	}
 }
 
-// reshape tries a random change of membership at the leader.
-func (s *sim) reshape(most int) {
+// changeRandomMember tries a random membership change at the leader.
+func (s *sim) changeRandomMember(maxNodes int) {
 	l := s.leader()
 	if l == nil {
 		return
 	}
-	if len(s.names) < most && s.rnd.IntN(2) == 0 {
-		id := fmt.Sprintf("r%d", len(s.names))
-		s.add(id)
+	if len(s.ids) < maxNodes && s.rnd.IntN(2) == 0 {
+		id := fmt.Sprintf("r%d", len(s.ids))
+		s.addNode(id)
 		_ = s.change(l, id, wire.Membership_ROLE_LEARNER)
 		return
 	}
 	role := wire.Membership_Role(s.rnd.IntN(3))
-	if role == wire.Membership_ROLE_NONE && l.voters() <= 3 {
+	if role == wire.Membership_ROLE_NONE && l.voterCount() <= 3 {
 		return
 	}
-	_ = s.change(l, s.names[s.rnd.IntN(len(s.names))], role)
+	_ = s.change(l, s.ids[s.rnd.IntN(len(s.ids))], role)
 }
 
-// Replicas propose while messages are lost, doubled, reordered and delayed,
-// links are cut one way and both, disks are full or slow, processes freeze, crash before and after
-// syncs and restart, clocks run unevenly and jump, and members change. A term
-// has one leader, who has all that is committed; all apply the same sequence;
-// reads under a lease are fresh; and after it all the group works again.
-func TestLogHoldsUnderFaults(t *testing.T) {
+// Checks the safety of the log under faults. Replicas propose while messages are lost,
+// duplicated, reordered and delayed, links fail in one or both directions, disks are full or
+// slow, processes are suspended, crash before and after syncs and restart, clocks drift and
+// jump, and the membership changes. A term must have only one leader, which holds all committed
+// entries; all replicas must apply the same sequence; no read under a lease may be stale; and
+// the group must work again afterwards.
+func TestSafetyUnderFaults(t *testing.T) {
 	terms, reads := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]int{3, 5}).Draw(t, "replicas"))
-		s.leased = true
-		s.loss, s.dup = 0.1*s.rnd.Float64(), 0.2*s.rnd.Float64()
-		s.delay = time.Duration(1+s.rnd.IntN(30)) * simStep
-		for _, id := range s.names {
-			s.nodes[id].rate = 0.9 + 0.2*s.rnd.Float64()
+		s.checkLeases = true
+		s.lossRate, s.duplicateRate = 0.1*s.rnd.Float64(), 0.2*s.rnd.Float64()
+		s.maxDelay = time.Duration(1+s.rnd.IntN(30)) * simStep
+		for _, id := range s.ids {
+			s.nodes[id].clockRate = 0.9 + 0.2*s.rnd.Float64()
 		}
 		for i := range 2500 {
 			s.step()
 			if s.rnd.IntN(60) == 0 {
-				s.fault()
+				s.injectFault()
 			}
 			if s.rnd.IntN(200) == 0 {
-				s.reshape(6)
+				s.changeRandomMember(6)
 			}
-			for _, id := range s.names {
-				if n := s.nodes[id]; n.runs(s) && n.Leads() && s.rnd.IntN(4) == 0 {
+			for _, id := range s.ids {
+				if n := s.nodes[id]; n.running(s) && n.IsLeader() && s.rnd.IntN(4) == 0 {
 					s.propose(n, fmt.Sprint(id, i))
 				}
 			}
 		}
-		if len(s.broken) == 0 {
-			s.heal()
+		if len(s.violations) == 0 {
+			s.recoverAll()
 		}
-		terms, reads = terms+len(s.leaders), reads+s.reads
-		if len(s.broken) > 0 {
+		terms, reads = terms+len(s.leaders), reads+s.leaseReads
+		if len(s.violations) > 0 {
 			t.Fatal(s.problems())
 		}
 	})
 	t.Logf("%d terms, %d reads under a lease", terms, reads)
 }
 
-// Guards against promises that are given before the disk has kept what they are about:
-// all disks are slow, and replicas crash during their writes.
-func TestLogHoldsOnSlowDisks(t *testing.T) {
+// Guards against votes and acknowledgements that are sent before the disk holds the records
+// that they rely on: all disks are slow, and replicas crash during their writes.
+func TestSafetyOnSlowDisks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(t, "seed"), 3)
-		for _, id := range s.names {
-			s.nodes[id].slow = 800 * time.Millisecond
+		for _, id := range s.ids {
+			s.nodes[id].maxWriteTime = 800 * time.Millisecond
 		}
 		for i := range 2500 {
 			s.step()
-			switch n := s.nodes[s.names[s.rnd.IntN(len(s.names))]]; {
+			switch n := s.nodes[s.ids[s.rnd.IntN(len(s.ids))]]; {
 			case s.rnd.IntN(40) > 0:
 			case n.down:
-				s.start(n)
+				s.startNode(n)
 			default:
 				n.down = true
 			}
@@ -126,24 +127,24 @@
 				s.propose(l, strconv.Itoa(i))
 			}
 		}
-		if len(s.broken) == 0 {
-			s.heal()
+		if len(s.violations) == 0 {
+			s.recoverAll()
 		}
-		if len(s.broken) > 0 {
+		if len(s.violations) > 0 {
 			t.Fatal(s.problems())
 		}
 	})
 }
 
-// heal ends all faults and holds that a new entry reaches every member.
-func (s *sim) heal() {
-	s.join()
-	s.loss, s.dup, s.delay = 0, 0, simStep
-	for _, id := range s.names {
+// recoverAll ends all faults and checks that a new entry reaches every member.
+func (s *sim) recoverAll() {
+	s.unblockAll()
+	s.lossRate, s.duplicateRate, s.maxDelay = 0, 0, simStep
+	for _, id := range s.ids {
 		n := s.nodes[id]
-		n.frozen, n.crash, n.full, n.slow = 0, 0, false, 0
+		n.suspendedUntil, n.crashPoint, n.diskFull, n.maxWriteTime = 0, 0, false, 0
 		if n.down {
-			s.start(n)
+			s.startNode(n)
 		}
 	}
 	s.run(12 * time.Second)
@@ -153,25 +154,25 @@
 		return
 	}
 	if !s.propose(l, "last") {
-		s.fail("the leader takes nothing after the faults")
+		s.fail("the leader accepts no proposal after the faults")
 	}
 	s.run(3 * time.Second)
 	for _, p := range l.Replicas() {
-		if n := s.nodes[p.GetId()]; n.index != l.index || n.sum != l.sum {
-			s.fail("%s stands at %d, the leader at %d", n.id, n.index, l.index)
+		if n := s.nodes[p.GetId()]; n.stateIndex != l.stateIndex || n.stateHash != l.stateHash {
+			s.fail("%s has applied up to %d, the leader up to %d", n.id, n.stateIndex, l.stateIndex)
 		}
 	}
 }
 
-// With no faults three replicas elect a leader and commit, and a leader that
-// stops on purpose hands over within half a second, long before a timeout.
-func TestTransfer(t *testing.T) {
+// Without faults, three replicas elect a leader and commit, and a leader that transfers
+// leadership is replaced within half a second, long before an election timeout.
+func TestLeadershipTransfer(t *testing.T) {
 	s := newSim(1, 3)
 	s.run(4 * time.Second)
 	l := s.leader()
-	must.True(t, s.commit(l, "a"))
-	must.Eq(t, l.Commit(), s.acked)
-	s.perform(l, l.Transfer(l.clock(s)))
+	must.True(t, s.proposeAndRun(l, "a"))
+	must.Eq(t, l.CommitIndex(), s.ackedIndex)
+	s.performEffects(l, l.TransferLeadership(l.clock(s)))
 	must.False(t, s.propose(l, "b"))
 	s.run(500 * time.Millisecond)
 	must.NotNil(t, s.leader())
@@ -179,46 +180,46 @@
 	must.Eq(t, "", s.problems())
 }
 
-// A learner that starts with an empty disk, long after the first entries were
-// compacted away, gets a snapshot, catches up and becomes a voter; then the
-// first replica is removed, even while it leads.
+// A learner with an empty disk joins long after the first entries were compacted. It must
+// receive a snapshot, catch up and become a voter. Then the first leader is removed while it
+// leads.
 func TestLearnerThenVoterThenRemoval(t *testing.T) {
 	s := newSim(2, 3)
 	s.run(4 * time.Second)
 	l := s.leader()
-	for i := range 2 * KeepEntries {
+	for i := range 2 * TrailingEntries {
 		s.propose(l, strconv.Itoa(i))
 		if i%10 == 0 {
 			s.step()
 		}
 	}
 	must.Greater(t, 1, l.log.base)
-	s.add("new")
+	s.addNode("new")
 	must.ErrorIs(t, s.change(l, "new", wire.Membership_ROLE_VOTER), ErrRefused)
 	must.NoError(t, s.change(l, "new", wire.Membership_ROLE_LEARNER))
 	must.ErrorIs(t, s.change(l, "new", wire.Membership_ROLE_VOTER), ErrBusy)
 	s.run(time.Second)
-	must.Eq(t, l.index, s.nodes["new"].index)
-	must.Eq(t, l.sum, s.nodes["new"].sum)
-	s.alter(t, l, "new", wire.Membership_ROLE_VOTER)
+	must.Eq(t, l.stateIndex, s.nodes["new"].stateIndex)
+	must.Eq(t, l.stateHash, s.nodes["new"].stateHash)
+	s.mustChange(t, l, "new", wire.Membership_ROLE_VOTER)
 	must.NoError(t, s.change(l, l.id, wire.Membership_ROLE_NONE))
 	s.run(4 * time.Second)
 	must.NotEq(t, l.id, s.leader().id)
-	must.Eq(t, 3, s.leader().voters())
+	must.Eq(t, 3, s.leader().voterCount())
 	must.True(t, s.propose(s.leader(), "z"))
 	must.Eq(t, "", s.problems())
 }
 
-// A replica comes back with an empty disk, and joins from its old address as a learner
-// seconds after the leader's election. Until its first answer it is silent since it
-// was added and no longer: taken for silent since the election, while the identity
-// that it had was heard a moment ago, it would be removed as the one that was
-// replaced, over and over, and the group would stay a voter short.
-func TestNewLearnerIsNotSilentForLong(t *testing.T) {
+// A replica loses its disk and joins as a learner from its old address, seconds after the
+// leader's election. Until its first reply its silence must count from the time when it was
+// added. Counted from the election, it would exceed the silence of the replica's former
+// identity, which was heard a moment ago. The learner would then be removed as the replaced
+// one, over and over, and the group would stay one voter short.
+func TestSilenceOfNewLearnerStartsWhenAdded(t *testing.T) {
 	s := newSim(2, 3)
 	s.run(4 * time.Second)
 	l := s.leader()
-	s.add("new")
+	s.addNode("new")
 	must.NoError(t, s.change(l, "new", wire.Membership_ROLE_LEARNER))
 	for _, p := range l.Peers(l.clock(s)) {
 		if p.GetId() == "new" {
@@ -226,5 +227,5 @@
 			return
 		}
 	}
-	t.Fatal("the learner is not there")
+	t.Fatal("the leader does not list the learner")
 }
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -26,218 +26,220 @@
 const simStep = 10 * time.Millisecond
 
 type (
-	// sim is a group of replicas on a network in memory. Faults come from rnd.
+	// sim simulates a group of replicas and their network in memory. Faults are drawn from rnd.
 	sim struct {
-		rnd   *rand.Rand
-		t     time.Duration // True time.
-		nodes map[string]*node
-		names []string // In order of creation.
-		net   []flight
-		cut   map[[2]string]bool // One way.
-		loss  float64
-		dup   float64
-		delay time.Duration
-
-		leaders   map[uint64]string         // By term.
-		committed map[uint64]*wire.LogEntry // By index, as first applied anywhere.
-		in        map[uint64]uint64         // Term in which that was, by index.
-		acked     uint64                    // Highest index that a leader applied, so that a caller may know it.
-		leaseless bool                      // Of all replicas that start from here on.
-		leased    bool                      // Check that reads under a lease are fresh.
-		reads     int
-		broken    []string
+		rnd           *rand.Rand
+		elapsed       time.Duration // True time since the start of the simulation.
+		nodes         map[string]*node
+		ids           []string // In order of creation.
+		inFlight      []delivery
+		blocked       map[[2]string]bool // By sender and receiver, each for one direction.
+		lossRate      float64            // Probability that a message is lost.
+		duplicateRate float64            // Probability that a message is sent twice.
+		maxDelay      time.Duration      // Upper bound of the delay of a message.
+
+		leaders         map[uint64]string         // By term.
+		committed       map[uint64]*wire.LogEntry // By index, as first applied at any replica.
+		committedInTerm map[uint64]uint64         // Term in which an entry was first applied, by index.
+		ackedIndex      uint64                    // Highest index that a leader has applied and may acknowledge.
+		leaseless       bool                      // Setting of all replicas that start from here on.
+		checkLeases     bool                      // Check that no read under a lease is stale.
+		leaseReads      int
+		violations      []string
 	}
 
 	node struct {
 		*Raft
-		id     string
-		snap   *wire.Snapshot // Disk, as synced.
-		recs   []*wire.Record
-		crash  int           // Point of the next effects at which it crashes; 0 for none.
-		full   bool          // The disk takes nothing.
-		slow   time.Duration // Longest time that a write takes; zero for none.
-		unkept write         // Waits for the disk.
-		job    *write        // Under way on a slow disk.
-		down   bool
-		frozen time.Duration // Until this true time.
-		rate   float64
-		offset time.Duration
-		index  uint64 // Applied.
-		sum    uint64 // Of what was applied.
-	}
-
-	// write is what is put on disk together, and the messages that wait for it.
+		id             string
+		diskSnapshot   *wire.Snapshot // On disk, as synced.
+		diskRecords    []*wire.Record // On disk, after the snapshot.
+		crashPoint     int            // Crash 1: before the next sync of records, 2: after it; 0: none.
+		diskFull       bool           // The disk accepts no writes.
+		maxWriteTime   time.Duration  // Upper bound of the duration of a write; zero for none.
+		pendingWrite   write          // Waits for the disk.
+		activeWrite    *write         // Under way.
+		down           bool
+		suspendedUntil time.Duration // The process is suspended until this true time.
+		clockRate      float64
+		clockOffset    time.Duration
+		stateIndex     uint64 // Last applied entry.
+		stateHash      uint64 // Hash of the applied entries.
+	}
+
+	// write is a group of records that go to disk together, and the messages that wait for
+	// them.
 	write struct {
-		snap *wire.Snapshot // Replaces all before it.
-		recs []*wire.Record
-		held []*wire.Raft
-		end  time.Duration // When it is done, in true time.
+		snapshot *wire.Snapshot // Replaces all earlier records.
+		records  []*wire.Record
+		messages []*wire.Raft
+		doneAt   time.Duration // True time at which the write is done.
 	}
 
-	flight struct {
-		at time.Duration
-		m  *wire.Raft
+	delivery struct {
+		at      time.Duration
+		message *wire.Raft
 	}
 )
 
 func newSim(seed uint64, n int) *sim {
 	s := &sim{
-		rnd: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, cut: map[[2]string]bool{}, delay: simStep,
-		leaders: map[uint64]string{}, committed: map[uint64]*wire.LogEntry{}, in: map[uint64]uint64{},
+		rnd: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, blocked: map[[2]string]bool{}, maxDelay: simStep,
+		leaders: map[uint64]string{}, committed: map[uint64]*wire.LogEntry{}, committedInTerm: map[uint64]uint64{},
 	}
 	var list []*wire.Replica
 	for i := range n {
 		list = append(list, &wire.Replica{Id: fmt.Sprintf("r%d", i), Voter: true})
 	}
 	for _, p := range list {
-		s.add(p.GetId())
+		s.addNode(p.GetId())
 	}
-	// One founds the group; the others learn of it like any replica that lags.
+	// The first replica founds the group; the others join like any replica that lags behind.
 	first := s.nodes[list[0].GetId()]
-	first.snap = Found("g", list, make([]byte, 8))
-	s.start(first)
+	first.diskSnapshot = BootstrapSnapshot("g", list, make([]byte, 8))
+	s.startNode(first)
 	return s
 }
 
-// add makes a replica with an empty disk.
-func (s *sim) add(id string) *node {
-	n := &node{id: id, rate: 1}
+// addNode adds a replica with an empty disk.
+func (s *sim) addNode(id string) *node {
+	n := &node{id: id, clockRate: 1}
 	s.nodes[id] = n
-	s.names = append(s.names, id)
-	s.start(n)
+	s.ids = append(s.ids, id)
+	s.startNode(n)
 	return n
 }
 
-func (s *sim) start(n *node) {
-	if n.job != nil && n.job.snap == nil && len(n.job.recs) > 0 { // A part of it was written.
-		n.recs = append(n.recs, n.job.recs[:s.rnd.IntN(len(n.job.recs))]...)
+func (s *sim) startNode(n *node) {
+	// A crash during a write leaves a part of it on disk.
+	if n.activeWrite != nil && n.activeWrite.snapshot == nil && len(n.activeWrite.records) > 0 {
+		n.diskRecords = append(n.diskRecords, n.activeWrite.records[:s.rnd.IntN(len(n.activeWrite.records))]...)
 	}
-	n.down, n.crash, n.unkept, n.job = false, 0, write{}, nil
+	n.down, n.crashPoint, n.pendingWrite, n.activeWrite = false, 0, write{}, nil
 	n.Raft = &Raft{ID: n.id, Rand: rand.New(rand.NewPCG(s.rnd.Uint64(), 2)), Leaseless: s.leaseless}
-	n.Start(n.clock(s), n.snap, n.recs)
-	n.install(n.snap)
+	n.Start(n.clock(s), n.diskSnapshot, n.diskRecords)
+	n.installSnapshot(n.diskSnapshot)
 }
 
-func (n *node) install(snap *wire.Snapshot) {
-	n.index, n.sum = snap.GetIndex(), 0
+func (n *node) installSnapshot(snap *wire.Snapshot) {
+	n.stateIndex, n.stateHash = snap.GetIndex(), 0
 	if len(snap.GetData()) == 8 {
-		n.sum = binary.LittleEndian.Uint64(snap.GetData())
+		n.stateHash = binary.LittleEndian.Uint64(snap.GetData())
 	}
 }
 
 func (n *node) clock(s *sim) time.Time {
-	return time.Unix(1000, 0).Add(n.offset + time.Duration(float64(s.t)*n.rate))
+	return time.Unix(1000, 0).Add(n.clockOffset + time.Duration(float64(s.elapsed)*n.clockRate))
 }
 
-func (n *node) runs(s *sim) bool { return !n.down && n.frozen <= s.t }
+func (n *node) running(s *sim) bool { return !n.down && n.suspendedUntil <= s.elapsed }
 
 func (s *sim) fail(format string, args ...any) {
-	s.broken = append(s.broken, fmt.Sprintf("%v: ", s.t)+fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf("%v: ", s.elapsed)+fmt.Sprintf(format, args...))
 }
 
-// perform carries effects out, up to the point of a crash.
-func (s *sim) perform(n *node, e Effects) {
+// performEffects carries out effects, up to the point of a crash.
+func (s *sim) performEffects(n *node, e Effects) {
 	if e.Err != nil {
 		s.fail("%s: %v", n.id, e.Err)
 		return
 	}
-	if n.crash == 1 && len(e.Records) > 0 { // Before the sync: a part was written.
-		if e.Install == nil && !n.full && n.job == nil {
-			n.recs = append(n.recs, e.Records[:s.rnd.IntN(len(e.Records))]...)
+	if n.crashPoint == 1 && len(e.Records) > 0 { // Before the sync, with a part of the records written.
+		if e.InstallSnapshot == nil && !n.diskFull && n.activeWrite == nil {
+			n.diskRecords = append(n.diskRecords, e.Records[:s.rnd.IntN(len(e.Records))]...)
 		}
 		n.down = true
 		return
 	}
 	for _, m := range e.Messages {
-		s.post(m)
+		s.send(m)
 	}
-	w := &n.unkept
-	if e.Install != nil {
-		w.snap, w.recs = e.Install, nil
-		n.install(e.Install)
+	w := &n.pendingWrite
+	if e.InstallSnapshot != nil {
+		w.snapshot, w.records = e.InstallSnapshot, nil
+		n.installSnapshot(e.InstallSnapshot)
 	} else {
-		w.recs = append(w.recs, e.Records...)
+		w.records = append(w.records, e.Records...)
 	}
-	w.held = append(w.held, e.Promises...)
+	w.messages = append(w.messages, e.MessagesAfterSync...)
 	for _, c := range e.Committed {
-		s.apply(n, c)
+		s.applyEntry(n, c)
 	}
-	if n.job != nil {
+	if n.activeWrite != nil {
 		return
 	}
-	if n.full && w.waits() {
-		n.Stall()
+	if n.diskFull && w.pending() {
+		n.DiskStalled()
 		return
 	}
-	s.write(n)
+	s.startWrite(n)
 }
 
-// write begins to put on disk what waits, and ends at once on a disk that is not slow.
-func (s *sim) write(n *node) {
-	w := n.unkept
-	n.unkept, n.job = write{}, &w
-	if w.snap != nil {
-		w.recs = n.Tail()
+// startWrite starts to write the pending records, and finishes at once unless the disk is slow.
+func (s *sim) startWrite(n *node) {
+	w := n.pendingWrite
+	n.pendingWrite, n.activeWrite = write{}, &w
+	if w.snapshot != nil {
+		w.records = n.LogRecords()
 	}
-	n.Writes()
-	if n.slow > 0 && len(w.recs) > 0 {
-		w.end = s.t + time.Duration(s.rnd.Int64N(int64(n.slow)))
+	n.WriteStarted()
+	if n.maxWriteTime > 0 && len(w.records) > 0 {
+		w.doneAt = s.elapsed + time.Duration(s.rnd.Int64N(int64(n.maxWriteTime)))
 		return
 	}
-	s.wrote(n)
+	s.finishWrite(n)
 }
 
-// wrote ends a write.
-func (s *sim) wrote(n *node) {
-	w := n.job
-	n.job = nil
-	if w.snap != nil {
-		n.snap, n.recs = w.snap, nil
+// finishWrite completes a write and sends the messages that waited for it.
+func (s *sim) finishWrite(n *node) {
+	w := n.activeWrite
+	n.activeWrite = nil
+	if w.snapshot != nil {
+		n.diskSnapshot, n.diskRecords = w.snapshot, nil
 	}
-	n.recs = append(n.recs, w.recs...)
-	if n.crash == 2 && len(w.recs) > 0 { // After the sync.
+	n.diskRecords = append(n.diskRecords, w.records...)
+	if n.crashPoint == 2 && len(w.records) > 0 { // After the sync.
 		n.down = true
 		return
 	}
-	for _, m := range w.held {
-		s.post(m)
+	for _, m := range w.messages {
+		s.send(m)
 	}
-	if after := n.Synced(n.clock(s)); len(after.Committed) > 0 || len(after.Messages) > 0 || n.unkept.waits() {
-		s.perform(n, after)
+	if after := n.WriteSynced(n.clock(s)); len(after.Committed) > 0 || len(after.Messages) > 0 || n.pendingWrite.pending() {
+		s.performEffects(n, after)
 	}
-	if n.job == nil && !n.unkept.waits() && n.index >= n.snap.GetIndex()+40 {
-		n.snap = n.Snapshot()
-		n.snap.Data = binary.LittleEndian.AppendUint64(nil, n.sum)
-		n.Compact(n.snap)
-		n.recs = n.Tail()
+	if n.activeWrite == nil && !n.pendingWrite.pending() && n.stateIndex >= n.diskSnapshot.GetIndex()+40 {
+		n.diskSnapshot = n.Snapshot()
+		n.diskSnapshot.Data = binary.LittleEndian.AppendUint64(nil, n.stateHash)
+		n.Compact(n.diskSnapshot)
+		n.diskRecords = n.LogRecords()
 	}
-	if n.Leads() {
+	if n.IsLeader() {
 		s.checkLeader(n)
 	}
 }
 
-func (w *write) waits() bool { return w.snap != nil || len(w.recs) > 0 }
+func (w *write) pending() bool { return w.snapshot != nil || len(w.records) > 0 }
 
-func (s *sim) apply(n *node, e *wire.LogEntry) {
-	if e.GetIndex() != n.index+1 {
-		s.fail("%s applies %d after %d", n.id, e.GetIndex(), n.index)
+func (s *sim) applyEntry(n *node, e *wire.LogEntry) {
+	if e.GetIndex() != n.stateIndex+1 {
+		s.fail("%s applies %d after %d", n.id, e.GetIndex(), n.stateIndex)
 	}
 	old := s.committed[e.GetIndex()]
 	if old == nil {
-		s.committed[e.GetIndex()], s.in[e.GetIndex()] = e, n.Term()
+		s.committed[e.GetIndex()], s.committedInTerm[e.GetIndex()] = e, n.Term()
 	} else if !proto.Equal(old, e) {
-		s.fail("%s applies another entry %d", n.id, e.GetIndex())
+		s.fail("%s applies a different entry %d", n.id, e.GetIndex())
 	}
-	n.index = e.GetIndex()
-	n.sum = n.sum*31 + e.GetTerm()
-	if n.Leads() {
-		s.acked = max(s.acked, n.index)
+	n.stateIndex = e.GetIndex()
+	n.stateHash = n.stateHash*31 + e.GetTerm()
+	if n.IsLeader() {
+		s.ackedIndex = max(s.ackedIndex, n.stateIndex)
 	}
 }
 
-// checkLeader holds that a term has one leader, who has all that was committed
-// in the terms before it. A candidate that was frozen may win an old term when
-// a later leader has committed more; it can commit nothing then.
+// checkLeader checks that a term has only one leader, and that the leader holds all entries
+// committed in earlier terms. A candidate that was suspended may win an old term after a later
+// leader has committed more entries; it can't commit anything then.
 func (s *sim) checkLeader(n *node) {
 	if old, ok := s.leaders[n.Term()]; ok {
 		if old != n.id {
@@ -247,84 +249,84 @@
 	}
 	s.leaders[n.Term()] = n.id
 	for i, e := range s.committed {
-		if t, ok := n.log.term(i); s.in[i] < n.Term() && i > n.log.base && (!ok || t != e.GetTerm()) {
+		if t, ok := n.log.term(i); s.committedInTerm[i] < n.Term() && i > n.log.base && (!ok || t != e.GetTerm()) {
 			s.fail("leader %s of term %d lacks entry %d", n.id, n.Term(), i)
 		}
 	}
 }
 
-// answer is the message with which a replica answers another.
-func answer(e Effects) *wire.Raft { return append(e.Messages, e.Promises...)[0] }
+// reply returns the message with which a replica answers another.
+func reply(e Effects) *wire.Raft { return append(e.Messages, e.MessagesAfterSync...)[0] }
 
-func (s *sim) post(m *wire.Raft) {
+func (s *sim) send(m *wire.Raft) {
 	n := 1
-	if s.rnd.Float64() < s.dup {
+	if s.rnd.Float64() < s.duplicateRate {
 		n = 2
 	}
 	for range n {
-		if s.rnd.Float64() >= s.loss {
-			s.net = append(s.net, flight{s.t + time.Duration(s.rnd.Int64N(int64(s.delay))), proto.CloneOf(m)})
+		if s.rnd.Float64() >= s.lossRate {
+			s.inFlight = append(s.inFlight, delivery{s.elapsed + time.Duration(s.rnd.Int64N(int64(s.maxDelay))), proto.CloneOf(m)})
 		}
 	}
 }
 
-// step lets one tick of true time pass.
+// step advances the true time by simStep, delivers messages, finishes writes and calls Tick.
 func (s *sim) step() {
-	s.t += simStep
-	due := s.net
-	s.net = nil
+	s.elapsed += simStep
+	due := s.inFlight
+	s.inFlight = nil
 	for _, f := range due {
-		n := s.nodes[f.m.GetTo()]
+		n := s.nodes[f.message.GetTo()]
 		switch {
-		case n == nil || n.down || s.cut[[2]string{f.m.GetFrom(), f.m.GetTo()}]:
-		case f.at > s.t || n.frozen > s.t:
-			s.net = append(s.net, f)
+		case n == nil || n.down || s.blocked[[2]string{f.message.GetFrom(), f.message.GetTo()}]:
+		case f.at > s.elapsed || n.suspendedUntil > s.elapsed:
+			s.inFlight = append(s.inFlight, f)
 		default:
-			s.perform(n, n.Step(n.clock(s), f.m))
+			s.performEffects(n, n.Step(n.clock(s), f.message))
 		}
 	}
-	for _, id := range s.names {
-		if n := s.nodes[id]; n.runs(s) {
-			s.disk(n)
+	for _, id := range s.ids {
+		if n := s.nodes[id]; n.running(s) {
+			s.updateDisk(n)
 		}
-		if n := s.nodes[id]; n.runs(s) {
-			s.perform(n, n.Tick(n.clock(s)))
-			s.read(n)
+		if n := s.nodes[id]; n.running(s) {
+			s.performEffects(n, n.Tick(n.clock(s)))
+			s.checkLeaseRead(n)
 		}
 	}
 }
 
-// disk ends a write whose time has come. One that takes long is told to the replica.
-func (s *sim) disk(n *node) {
+// updateDisk finishes a write that is due, and reports a long write to the replica.
+func (s *sim) updateDisk(n *node) {
 	switch {
-	case n.job == nil:
-	case n.job.end <= s.t:
-		s.wrote(n)
-	case n.job.end > s.t+Heartbeat:
-		n.Stall()
+	case n.activeWrite == nil:
+	case n.activeWrite.doneAt <= s.elapsed:
+		s.finishWrite(n)
+	case n.activeWrite.doneAt > s.elapsed+DefaultHeartbeatInterval:
+		n.DiskStalled()
 	}
 }
 
 func (s *sim) run(d time.Duration) {
-	for end := s.t + d; s.t < end; {
+	for end := s.elapsed + d; s.elapsed < end; {
 		s.step()
 	}
 }
 
-// read holds that a leader under its lease knows all that was acknowledged.
-func (s *sim) read(n *node) {
-	if !n.down && s.leased && n.Leased(n.clock(s)) {
-		s.reads++
-		if n.index < s.acked {
-			s.fail("stale read at %s: %d before %d", n.id, n.index, s.acked)
+// checkLeaseRead checks that a leader with a valid lease has applied all acknowledged entries.
+func (s *sim) checkLeaseRead(n *node) {
+	if !n.down && s.checkLeases && n.HasLease(n.clock(s)) {
+		s.leaseReads++
+		if n.stateIndex < s.ackedIndex {
+			s.fail("stale read at %s: applied up to %d, acknowledged up to %d", n.id, n.stateIndex, s.ackedIndex)
 		}
 	}
 }
 
 func (s *sim) leader() *node {
 	var best *node
-	for _, id := range s.names {
-		if n := s.nodes[id]; n.runs(s) && n.Leads() && (best == nil || n.Term() > best.Term()) {
+	for _, id := range s.ids {
+		if n := s.nodes[id]; n.running(s) && n.IsLeader() && (best == nil || n.Term() > best.Term()) {
 			best = n
 		}
 	}
@@ -333,27 +335,27 @@
 
 func (s *sim) propose(n *node, text string) bool {
 	_, e, err := n.Propose(n.clock(s), []byte(text))
-	s.perform(n, e)
+	s.performEffects(n, e)
 	return err == nil
 }
 
 func (s *sim) change(n *node, id string, role wire.Membership_Role) error {
-	_, e, err := n.Change(n.clock(s), &wire.Membership{Replica: id, Role: role})
-	s.perform(n, e)
+	_, e, err := n.ChangeMembership(n.clock(s), &wire.Membership{Replica: id, Role: role})
+	s.performEffects(n, e)
 	return err
 }
 
-// isolate cuts a replica off both ways; join undoes all cuts.
+// isolate blocks all links of a replica in both directions; unblockAll restores all links.
 func (s *sim) isolate(id string) {
-	for _, o := range s.names {
-		s.cut[[2]string{id, o}], s.cut[[2]string{o, id}] = true, true
+	for _, o := range s.ids {
+		s.blocked[[2]string{id, o}], s.blocked[[2]string{o, id}] = true, true
 	}
 }
 
-func (s *sim) join() { s.cut = map[[2]string]bool{} }
+func (s *sim) unblockAll() { s.blocked = map[[2]string]bool{} }
 
 func (s *sim) others(id string) []string {
-	return slices.DeleteFunc(slices.Clone(s.names), func(o string) bool { return o == id })
+	return slices.DeleteFunc(slices.Clone(s.ids), func(o string) bool { return o == id })
 }
 
-func (s *sim) problems() string { return strings.Join(s.broken, "\n") }
+func (s *sim) problems() string { return strings.Join(s.violations, "\n") }
--- a/io/hub/scope_test.go
+++ b/io/hub/scope_test.go
@@ -177,10 +177,10 @@
 				if tc.serves {
 					r.ended(now, "z2")
 				}
-				r.look(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}, Silence: now.Sub(at)}})
+				r.look(now, []raft.PeerStatus{{Replica: &wire.Replica{DataCentre: "z2"}, Silence: now.Sub(at)}})
 			}
 			must.SliceEqFunc(t, tc.want, r.list(), func(a, b string) bool { return a == b })
-			r.look(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}}})
+			r.look(now, []raft.PeerStatus{{Replica: &wire.Replica{DataCentre: "z2"}}})
 			must.SliceEmpty(t, r.list(), must.Sprint("it is heard again"))
 		})
 	}
