--- a/io/hub/bans.go
+++ b/io/hub/bans.go
@@ -12,23 +12,23 @@
 	"azurelane/core/wire"
 )
 
-// bans is what a scheduler knows of requests that crash upstreams. Entries bring what
-// they know to a scheduler that is new, crashes that led to no ban among it; bans are
-// recorded as well, as all processes may end at once. The zero value is ready.
+// bans holds what a scheduler knows of requests that crash upstreams. Entries report what they
+// know to a new scheduler, including crashes that led to no ban. Bans are also recorded in the
+// replicated log, as all processes may stop at once. The zero value is ready.
 type bans struct {
-	mu       sync.Mutex
-	poison   poison.Poison
-	change   signal
-	lifted   map[digest.Digest]bool // The record may still have them.
-	recorded map[digest.Digest]int  // Tries, as this scheduler has recorded them.
-	loaded   uint64                 // Revision of the recorded bans that are known here.
+	mu             sync.Mutex
+	poison         poison.Poison
+	change         signal
+	lifted         map[digest.Digest]bool // Lifted here; the log may still list them.
+	recorded       map[digest.Digest]int  // Tries, as this scheduler last recorded them.
+	loadedRevision uint64                 // Of the recorded bans that were loaded last.
 }
 
-// recordAgain is the pause after bans that could not be recorded.
-const recordAgain = 500 * time.Millisecond
+// recordRetryDelay is the pause before another attempt to record bans.
+const recordRetryDelay = 500 * time.Millisecond
 
-// take adds what an entry knows.
-func (b *bans) take(log logr.Logger, c *wire.Crashes) {
+// merge adds what an entry knows.
+func (b *bans) merge(log logr.Logger, c *wire.Crashes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	before := b.poison.Revision()
@@ -38,28 +38,28 @@
 		log.Info("Request banned: it crashes upstreams.", "digest", d.String())
 	}
 	for _, d := range lifted {
-		b.unlist(d)
-		log.Info("Ban lifted: an upstream ran the request.", "digest", d.String())
+		b.markLifted(d)
+		log.Info("Ban lifted: an upstream completed the request.", "digest", d.String())
 	}
 	b.notify(before)
 }
 
-// lift takes requests off the list.
+// lift removes the bans of the requests with the given digests.
 func (b *bans) lift(log logr.Logger, list [][]byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	before := b.poison.Revision()
 	for _, raw := range list {
 		if d, ok := digest.From(raw); ok && b.poison.Clear(d) {
-			b.unlist(d)
+			b.markLifted(d)
 			log.Info("Ban lifted by an operator.", "digest", d.String())
 		}
 	}
 	b.notify(before)
 }
 
-// unlist notes that a ban is to leave the record. The lock is held.
-func (b *bans) unlist(d digest.Digest) {
+// markLifted notes that a ban has to be removed from the log. The lock is held.
+func (b *bans) markLifted(d digest.Digest) {
 	if b.lifted == nil {
 		b.lifted = map[digest.Digest]bool{}
 	}
@@ -67,14 +67,14 @@
 	delete(b.recorded, d)
 }
 
-// load takes the recorded bans, but for those that were lifted here since.
+// load adds the recorded bans, except for those that have been lifted here.
 func (b *bans) load(list []*wire.Ban, revision uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.loaded == revision {
+	if b.loadedRevision == revision {
 		return
 	}
-	b.loaded = revision
+	b.loadedRevision = revision
 	before, now := b.poison.Revision(), time.Now()
 	for _, r := range list {
 		if d, ok := digest.From(r.GetDigest()); ok && !b.lifted[d] {
@@ -84,8 +84,9 @@
 	b.notify(before)
 }
 
-// unrecorded is what the record lacks, nil for nothing. Each ban is recorded once by one
-// scheduler, and once more when it was tried, so that a full record comes to rest.
+// unrecorded returns what the log lacks, or nil. Each scheduler records a ban once, and once
+// more when it was tried: bans that a full record has evicted would otherwise be recorded over
+// and over.
 func (b *bans) unrecorded(list []*wire.Ban) *wire.RecordBans {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,8 +100,8 @@
 	for _, n := range b.poison.Bans(time.Now()).GetBanned() {
 		d, _ := digest.From(n.GetDigest())
 		tries, ok := known[d]
-		if done, mine := b.recorded[d]; mine {
-			tries, ok = max(tries, done), true
+		if recordedTries, ours := b.recorded[d]; ours {
+			tries, ok = max(tries, recordedTries), true
 		}
 		if !ok || tries < int(n.GetTries()) {
 			c.Banned = append(c.Banned, n)
@@ -117,46 +118,47 @@
 	return c
 }
 
-// record notes bans that have been recorded.
-func (b *bans) record(c *wire.RecordBans) {
+// markRecorded notes that bans have been recorded.
+func (b *bans) markRecorded(c *wire.RecordBans) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.recorded == nil {
 		b.recorded = map[digest.Digest]int{}
 	}
 	for _, n := range c.GetBanned() {
-		if d, _ := digest.From(n.GetDigest()); b.poison.Banned(d) { // Else it was lifted meanwhile.
+		if d, _ := digest.From(n.GetDigest()); b.poison.Banned(d) { // Otherwise it was lifted in the meantime.
 			b.recorded[d] = int(n.GetTries())
 		}
 	}
 }
 
-// recordBans has the log keep bans until ctx ends. Without it all of them are forgotten
-// when all processes end at once, and each request crashes as many upstreams again.
-func (h *Hub) recordBans(ctx context.Context, r *reign) {
+// recordBans records bans in the replicated log until ctx ends. Without the record, bans would
+// be lost when all processes stop at once, and each request would crash as many upstreams again.
+func (h *Hub) recordBans(ctx context.Context, s *scheduler) {
 	for {
-		changed := r.bans.changed()
-		var later <-chan time.Time
+		changed := s.bans.changed()
+		var retry <-chan time.Time
 		list, _ := h.Replica.Bans()
-		if c := r.bans.unrecorded(list); c != nil {
+		if c := s.bans.unrecorded(list); c != nil {
 			_, err := h.Replica.Propose(ctx, &wire.Command{Kind: &wire.Command_RecordBans{RecordBans: c}})
 			if err == nil {
-				r.bans.record(c)
+				s.bans.markRecorded(c)
 				continue
 			}
-			h.Log.Info("Bans not recorded.", "banned", len(c.GetBanned()), "lifted", len(c.GetLifted()), "err", err.Error())
-			later = time.After(recordAgain)
+			h.Log.Info("Bans not recorded; trying again.", "banned", len(c.GetBanned()), "lifted", len(c.GetLifted()), "err", err.Error())
+			retry = time.After(recordRetryDelay)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-later:
+		case <-retry:
 		}
 	}
 }
 
-// try reports whether a banned request may be sent once.
+// try reports whether a banned request may be sent once, to see whether it still crashes
+// upstreams.
 func (b *bans) try(log logr.Logger, raw []byte) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -165,19 +167,20 @@
 	if !ok || !b.poison.Try(time.Now(), d) {
 		return false
 	}
-	log.Info("Banned request is tried.", "digest", d.String())
+	log.Info("Banned request may be sent once.", "digest", d.String())
 	b.notify(before)
 	return true
 }
 
-// notify wakes the entries that wait for news if the list has changed. The lock is held.
+// notify wakes the entries that wait for news if the list has changed since revision before. The
+// lock is held.
 func (b *bans) notify(before uint64) {
 	if b.poison.Revision() != before {
-		b.change.raise()
+		b.change.broadcast()
 	}
 }
 
-// since returns the list, nil when the asker has this revision.
+// since returns the list, or nil if the list still has the given revision.
 func (b *bans) since(revision uint64) *wire.Bans {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -194,7 +197,7 @@
 	return b.poison.Bans(time.Now())
 }
 
-// changed is closed when the list next changes.
+// changed returns a channel that is closed when the list next changes.
 func (b *bans) changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -203,27 +206,27 @@
 
 // handleBans answers a frame about requests that crash upstreams.
 //
-// Of two schedulers on the sides of a cut only the leader lets requests be tried, as
-// neither knows the tries of the other.
+// While the network is partitioned, schedulers on both sides don't know each other's tries. So
+// only the leader lets banned requests be tried.
 func (h *Hub) handleBans(f *wire.Frame) (*wire.Frame, error) {
 	if c := f.GetCrashes(); c != nil {
-		r := h.scheduler()
-		if r == nil {
-			return nil, h.moved()
+		s := h.scheduler()
+		if s == nil {
+			return nil, h.notLeaderFault()
 		}
-		r.bans.take(h.Log, c)
+		s.bans.merge(h.Log, c)
 		return nil, nil //nolint:nilnil // An empty reply is an acknowledgement.
 	}
-	r := h.lead()
-	if r == nil {
-		return nil, h.moved()
+	s := h.leaderScheduler()
+	if s == nil {
+		return nil, h.notLeaderFault()
 	}
 	if t := f.GetTry(); t != nil {
-		if !r.bans.try(h.Log, t.GetDigest()) {
-			return nil, &wire.Fault{Code: banned}
+		if !s.bans.try(h.Log, t.GetDigest()) {
+			return nil, &wire.Fault{Code: codeBanned}
 		}
 		return nil, nil //nolint:nilnil // As above.
 	}
-	r.bans.lift(h.Log, f.GetBanQuery().GetLift())
-	return &wire.Frame{Body: &wire.Frame_Bans{Bans: r.bans.list()}}, nil
+	s.bans.lift(h.Log, f.GetBanQuery().GetLift())
+	return &wire.Frame{Body: &wire.Frame_Bans{Bans: s.bans.list()}}, nil
 }
--- a/io/hub/hub.go
+++ b/io/hub/hub.go
@@ -1,6 +1,6 @@
-// Package hub is what a control replica does for entries and upstreams beside
-// the replicated log: it tells entries what has changed, takes announcements,
-// and, on the leader, schedules the pools.
+// Package hub implements the services of a control replica on top of the replicated log: it
+// answers long polls of entries with what has changed, takes the announcements of upstreams and,
+// on the leader, schedules the pools.
 package hub
 
 import (
@@ -23,39 +23,40 @@
 	"azurelane/io/stats"
 )
 
-// ErrUnsure is returned when this process can't tell what is in force.
-var ErrUnsure = errors.New("hub: no quorum answers")
+// ErrNoQuorum is returned when no quorum confirms which configuration is in force.
+var ErrNoQuorum = errors.New("hub: no quorum answers")
 
-// Fault codes of a hub.
+// Fault codes that a hub returns to its peers.
 const (
-	unready = "unready" // The group is not complete yet.
-	banned  = "banned"  // A request may not be tried now.
+	codeUnready = "unready" // The group has fewer voters than it needs.
+	codeBanned  = "banned"  // A banned request may not be sent now.
 )
 
 type (
-	// Hub is the service. Its exported fields are set before Serve is called.
+	// Hub is the control service of one replica. Its exported fields are set before Serve is
+	// called.
 	Hub struct {
-		Replica replica
-		Leader  proposer
-		Centre  string                                 // Data centre of this replica.
-		Parse   func(doc []byte) (*conf.Config, error) // Reads a published document.
-		Voters  int                                    // A publication is taken only from so many voters on.
-		Beat    time.Duration                          // Between two announcements of an upstream.
-		Over    float64                                // Part of rates that may be allowed beyond them.
-		Slack   float64                                // Units beyond that.
-		Stats   *stats.Stats
-		Log     logr.Logger
-		Lines   logs.Budget // For the lines of refused tickets.
+		Replica          replica
+		Leader           proposer
+		DataCentre       string                                 // Data centre of this replica.
+		Parse            func(doc []byte) (*conf.Config, error) // Parses a published document.
+		Voters           int                                    // Minimum number of voters for accepting a publication.
+		AnnounceInterval time.Duration                          // Interval between two announcements of an upstream.
+		Overage          float64                                // Fraction by which rates and bursts may be exceeded.
+		QuotaSlack       float64                                // Units added to every burst, on top of Overage.
+		Stats            *stats.Stats
+		Log              logr.Logger
+		RefusalLog       logs.Budget // Limits the log lines of refused tickets.
 
-		mu       sync.Mutex
-		reign    *reign // Nil where this replica doesn't lead.
-		watchers watchers
-		pack     pack
+		mu         sync.Mutex
+		current    *scheduler // Nil while this replica does not schedule.
+		watchers   watchers
+		compressed compressedDocument
 	}
 
 	replica interface {
 		Leads() bool
-		CutOff() bool // It follows no leader and reaches no quorum.
+		CutOff() bool // Whether the replica follows no leader and reaches no quorum.
 		Leader() string
 		Changed() <-chan struct{}
 		Publication() (uint64, []byte)
@@ -67,7 +68,7 @@
 		Handle(ctx context.Context, f *wire.Frame) (*wire.Frame, error)
 	}
 
-	// proposer reaches the leader wherever it is.
+	// proposer sends commands and queries to the leader, whichever replica that is.
 	proposer interface {
 		Propose(ctx context.Context, c *wire.Command) (*wire.Result, error)
 		Ask(ctx context.Context, build func() *wire.Frame) (*wire.Frame, error)
@@ -75,77 +76,81 @@
 )
 
 const (
-	// allowPart is the part of what may pass beyond a rate that the scheduler
-	// lets pass; the rest is for entries that go on alone behind a cut.
-	allowPart  = 0.25
-	sweepEvery = 200 * time.Millisecond // Looks at upstreams and entries.
-	// leaseBeats is how many announcements in a row an upstream may miss. One is
-	// lost now and then, and they come seconds late behind a bad link.
-	leaseBeats = 3
-	// freshLease is the lease that a new leader gives every upstream of the
-	// roster until it hears from it, in announcements.
-	freshLease = 3
+	// schedulerOverageShare is the fraction of Overage and QuotaSlack that the leader's
+	// scheduler uses. The rest is left for entries that place requests by themselves while they
+	// are cut off.
+	schedulerOverageShare = 0.25
+	sweepInterval         = 200 * time.Millisecond // Between two checks for silent upstreams and entries.
+	// leaseIntervals is how many announcements in a row an upstream may miss before its lease
+	// ends. Single announcements get lost, and over a bad link they arrive seconds late.
+	leaseIntervals = 3
+	// takeoverLeaseIntervals is the lease, in announce intervals, that a new scheduler gives
+	// every upstream of the roster until it hears from that upstream.
+	takeoverLeaseIntervals = 3
 )
 
-// Serve follows the leadership of the replica until ctx ends.
+// Serve runs a scheduler while this replica leads, or while it is cut off together with its data
+// centre. It returns when ctx ends.
 func (h *Hub) Serve(ctx context.Context) error {
-	tick, look := time.NewTicker(sweepEvery), time.NewTicker(reachEvery)
-	defer tick.Stop()
-	defer look.Stop()
+	sweepTick, reachTick := time.NewTicker(sweepInterval), time.NewTicker(reachCheckInterval)
+	defer sweepTick.Stop()
+	defer reachTick.Stop()
 	var version uint64
-	end := func() {}
-	defer func() { end() }()
+	stop := func() {}
+	defer func() { stop() }()
 	for {
 		changed := h.Replica.Changed()
-		want, r := h.scope(), h.scheduler()
-		if r != nil && r.scope != want {
-			h.Log.Info(r.scope.ends(), "scheduler", r.id)
-			h.set(nil)
-			end()
-			r = nil
+		want, s := h.wantedScope(), h.scheduler()
+		if s != nil && s.scope != want {
+			h.Log.Info(s.scope.stopMessage(), "scheduler", s.id)
+			h.setScheduler(nil)
+			stop()
+			s = nil
 		}
-		if r == nil && want != nowhere {
-			rctx, cancel := context.WithCancel(ctx)
-			end = cancel
-			r = h.begin(rctx, want)
-			version = h.install(r, 0)
-			r.bans.load(h.Replica.Bans())
-			h.set(r) // What entries tell of accounts' use counts once the rates are known.
+		if s == nil && want != scopeNone {
+			schedulerCtx, cancel := context.WithCancel(ctx)
+			stop = cancel
+			s = h.startScheduler(schedulerCtx, want)
+			version = h.installConfig(s, 0)
+			s.bans.load(h.Replica.Bans())
+			// Published only now, because usage reported by entries counts only once the rates
+			// are installed.
+			h.setScheduler(s)
 		}
-		if r != nil {
-			version = h.install(r, version)
-			r.bans.load(h.Replica.Bans())
-			h.lookAround(r)
+		if s != nil {
+			version = h.installConfig(s, version)
+			s.bans.load(h.Replica.Bans())
+			h.checkReachability(s)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-changed:
-		case <-look.C:
-		case <-tick.C:
-			if r != nil {
-				h.sweep(r)
+		case <-reachTick.C:
+		case <-sweepTick.C:
+			if s != nil {
+				h.sweep(s)
 			}
 		}
 	}
 }
 
-// Gauges sets up the figures that are read when the metrics are.
-func (h *Hub) Gauges() {
+// RegisterGauges registers the metrics whose values are computed when they are read.
+func (h *Hub) RegisterGauges() {
 	h.Stats.Pull("tickets-waiting", func() int64 {
-		if r := h.scheduler(); r != nil {
-			return int64(r.sched.Waiting())
+		if s := h.scheduler(); s != nil {
+			return int64(s.sched.Waiting())
 		}
 		return 0
 	})
 	h.Stats.Pull("leads", func() int64 {
-		if h.lead() != nil {
+		if h.leaderScheduler() != nil {
 			return 1
 		}
 		return 0
 	})
 	h.Stats.Pull("schedules-cut-off", func() int64 {
-		if r := h.scheduler(); r != nil && r.scope == centre {
+		if s := h.scheduler(); s != nil && s.scope == scopeDataCentre {
 			return 1
 		}
 		return 0
@@ -155,79 +160,81 @@
 		return int64(min(v, math.MaxInt64)) //nolint:gosec // Bounded.
 	})
 	h.Stats.Pull("requests-banned", func() int64 {
-		if r := h.scheduler(); r != nil {
-			return int64(len(r.bans.list().GetBanned()))
+		if s := h.scheduler(); s != nil {
+			return int64(len(s.bans.list().GetBanned()))
 		}
 		return 0
 	})
 	h.Stats.Pull("entries", func() int64 { return h.watchers.count(time.Now()) })
 	h.Stats.Pull("upstreams-silent", func() int64 {
-		r := h.scheduler()
-		if r == nil {
+		s := h.scheduler()
+		if s == nil {
 			return 0
 		}
-		r.beats.mu.Lock()
-		defer r.beats.mu.Unlock()
-		return int64(len(r.beats.quiet))
+		s.upstreams.mu.Lock()
+		defer s.upstreams.mu.Unlock()
+		return int64(len(s.upstreams.silent))
 	})
 }
 
-// scheduler is what this replica schedules by, nil where it does not.
-func (h *Hub) scheduler() *reign {
+// scheduler returns the active scheduler, or nil if this replica does not schedule.
+func (h *Hub) scheduler() *scheduler {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.reign
+	return h.current
 }
 
-// lead is the scheduler of the leader, nil elsewhere.
-func (h *Hub) lead() *reign {
-	if r := h.scheduler(); r != nil && r.scope == deployment {
-		return r
+// leaderScheduler returns the active scheduler if it is the leader's, and nil otherwise.
+func (h *Hub) leaderScheduler() *scheduler {
+	if s := h.scheduler(); s != nil && s.scope == scopeDeployment {
+		return s
 	}
 	return nil
 }
 
-func (h *Hub) set(r *reign) {
+func (h *Hub) setScheduler(s *scheduler) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.reign = r
+	h.current = s
 }
 
-// begin starts to schedule. Entries bring the slots that they hold when they
-// hear of the new scheduler.
-func (h *Hub) begin(ctx context.Context, s scope) *reign {
-	r := &reign{id: uuid.NewString()[:8], begun: time.Now(), scope: s, stats: h.Stats, log: h.Log, lines: &h.Lines}
-	r.allow = allow.Allow{Over: allowPart * h.Over, Slack: allowPart * h.Slack, Idle: true}
-	if s == centre {
-		r.allow.Slack, r.allow.Idle = allow.SlackPart*h.Slack, false
+// startScheduler starts a scheduler for the given scope. Entries report the slots that they hold
+// when they learn of the new scheduler.
+func (h *Hub) startScheduler(ctx context.Context, sc scope) *scheduler {
+	s := &scheduler{id: uuid.NewString()[:8], startedAt: time.Now(), scope: sc, stats: h.Stats, log: h.Log, refusalLog: &h.RefusalLog}
+	s.allow = allow.Allow{Over: schedulerOverageShare * h.Overage, Slack: schedulerOverageShare * h.QuotaSlack, Idle: true}
+	if sc == scopeDataCentre {
+		s.allow.Slack, s.allow.Idle = allow.SlackPart*h.QuotaSlack, false
 	}
-	r.sched = &sched.Sched{Incarnation: r.id, Log: h.Log.WithName("sched")}
-	go func() { _ = r.sched.Serve(ctx) }()
-	if s == deployment {
-		go h.recordBans(ctx, r)
+	s.sched = &sched.Sched{Incarnation: s.id, Log: h.Log.WithName("sched")}
+	go func() { _ = s.sched.Serve(ctx) }()
+	if sc == scopeDeployment {
+		go h.recordBans(ctx, s)
 	}
-	h.Log.Info(s.begins(), "scheduler", r.id)
-	return r
+	h.Log.Info(sc.startMessage(), "scheduler", s.id)
+	return s
 }
 
-// install puts the newest publication in force at the scheduler.
-func (h *Hub) install(r *reign, have uint64) uint64 {
+// installConfig hands the newest publication to the scheduler and returns its version. Installed
+// is the version that the scheduler has, zero for none. A document that can't be parsed is
+// logged and skipped.
+func (h *Hub) installConfig(s *scheduler, installed uint64) uint64 {
 	v, doc := h.Replica.Publication()
-	if v == have {
-		return have
+	if v == installed {
+		return installed
 	}
 	cfg, err := h.Parse(doc)
 	if err != nil {
-		h.Log.Error(err, "Published document not put in force.", "version", v)
+		h.Log.Error(err, "Published configuration not installed.", "version", v)
 		return v
 	}
-	r.install(v, cfg.Accounts)
-	r.sched.Install(cfg)
-	if have == 0 {
+	s.installAccounts(v, cfg.Accounts)
+	s.sched.Install(cfg)
+	if installed == 0 {
 		list, _, _ := h.Replica.Roster(0)
 		for _, u := range list {
-			if r.scope == deployment || u.GetDataCentre() == h.Centre {
-				h.announce(r, u, freshLease)
+			if s.scope == scopeDeployment || u.GetDataCentre() == h.DataCentre {
+				h.announce(s, u, takeoverLeaseIntervals)
 			}
 		}
 	}
@@ -235,9 +242,10 @@
 	return v
 }
 
-// Later takes tickets, which wait for their decision without a goroutine each, and
-// questions whether this process lives.
-func (h *Hub) Later(ctx context.Context, f *wire.Frame, reply func(*wire.Frame)) bool {
+// HandleAsync takes the frames that need no goroutine while they wait, and reports whether it
+// took f: tickets, which are answered once they are decided, and liveness probes, which are
+// configuration queries with a version.
+func (h *Hub) HandleAsync(ctx context.Context, f *wire.Frame, reply func(*wire.Frame)) bool {
 	if f.GetConfigQuery().GetVersion() > 0 {
 		reply(&wire.Frame{Body: &wire.Frame_BeatReply{BeatReply: &wire.BeatReply{}}})
 		return true
@@ -246,19 +254,19 @@
 	if t == nil {
 		return false
 	}
-	r := h.scheduler()
-	if r == nil {
-		reply(&wire.Frame{Body: &wire.Frame_Fault{Fault: h.moved()}})
+	s := h.scheduler()
+	if s == nil {
+		reply(&wire.Frame{Body: &wire.Frame_Fault{Fault: h.notLeaderFault()}})
 		return true
 	}
-	r.submit(ctx, t, func(d *wire.Decision) { reply(&wire.Frame{Body: &wire.Frame_Decision{Decision: d}}) })
+	s.submit(ctx, t, func(d *wire.Decision) { reply(&wire.Frame{Body: &wire.Frame_Decision{Decision: d}}) })
 	return true
 }
 
-// Handle answers one frame of a peer.
+// Handle answers one frame from a peer.
 func (h *Hub) Handle(ctx context.Context, f *wire.Frame) (*wire.Frame, error) {
 	answer := make(chan *wire.Frame, 1)
-	if h.Later(ctx, f, func(r *wire.Frame) { answer <- r }) {
+	if h.HandleAsync(ctx, f, func(r *wire.Frame) { answer <- r }) {
 		r := <-answer
 		if fault := r.GetFault(); fault != nil {
 			return nil, fault
@@ -267,38 +275,38 @@
 	}
 	switch b := f.GetBody().(type) {
 	case *wire.Frame_Release:
-		if r := h.scheduler(); r != nil {
-			r.release(b.Release)
+		if s := h.scheduler(); s != nil {
+			s.release(b.Release)
 		}
 	case *wire.Frame_Withdraw:
-		if r := h.scheduler(); r != nil {
-			r.sched.Withdraw(b.Withdraw)
+		if s := h.scheduler(); s != nil {
+			s.sched.Withdraw(b.Withdraw)
 		}
 	case *wire.Frame_Held:
-		if r := h.scheduler(); r != nil {
-			r.sched.Hold(b.Held)
+		if s := h.scheduler(); s != nil {
+			s.sched.Hold(b.Held)
 		}
 	case *wire.Frame_Usage:
-		if r := h.scheduler(); r != nil {
-			r.used(b.Usage)
+		if s := h.scheduler(); s != nil {
+			s.chargeUsage(b.Usage)
 		}
 	case *wire.Frame_Limits:
 		return nil, h.handleLimits(b.Limits)
 	case *wire.Frame_Crashes, *wire.Frame_Try, *wire.Frame_BanQuery:
 		return h.handleBans(f)
 	case *wire.Frame_Watch:
-		n, err := h.watch(ctx, b.Watch)
+		n, err := h.handleWatch(ctx, b.Watch)
 		if err != nil {
 			return nil, err
 		}
 		return &wire.Frame{Body: &wire.Frame_News{News: n}}, nil
 	case *wire.Frame_Report:
-		return nil, h.report(ctx, b.Report)
+		return nil, h.handleReport(ctx, b.Report)
 	case *wire.Frame_ConfigQuery:
-		return h.newest(ctx)
+		return h.readPublication(ctx)
 	case *wire.Frame_Command:
 		if b.Command.GetPublish() != nil {
-			if err := h.complete(); err != nil {
+			if err := h.checkVoters(); err != nil {
 				return nil, err
 			}
 		}
@@ -309,15 +317,16 @@
 	return nil, nil //nolint:nilnil // An empty reply is an acknowledgement.
 }
 
-func (h *Hub) moved() *wire.Fault {
+// notLeaderFault returns the fault that names the leader to a peer, as far as it is known here.
+func (h *Hub) notLeaderFault() *wire.Fault {
 	return &wire.Fault{Code: wire.CodeMoved, Text: "this replica doesn't lead", Leader: h.Replica.Leader()}
 }
 
-// complete reports an error while the group has too few voters to outlive the
-// losses that it has to: what it acknowledged then could be gone after them.
-func (h *Hub) complete() error {
+// checkVoters returns an error while this replica leads a group with fewer voters than survive
+// the configured losses: a publication acknowledged by such a group could be lost with them.
+func (h *Hub) checkVoters() error {
 	if !h.Replica.Leads() {
-		return nil // The replica names the leader.
+		return nil // Replica.Handle answers with the leader's address.
 	}
 	_, all, _ := h.Replica.Group()
 	n := 0
@@ -327,14 +336,15 @@
 		}
 	}
 	if n < h.Voters {
-		return &wire.Fault{Code: unready, Text: fmt.Sprintf("hub: %d of %d voters", n, h.Voters)}
+		return &wire.Fault{Code: codeUnready, Text: fmt.Sprintf("hub: %d of %d voters", n, h.Voters)}
 	}
 	return nil
 }
 
-// newest reads the publication on the leader. The barrier shows that a quorum
-// still follows it: a clock that stood still while this VM slept can't tell.
-func (h *Hub) newest(ctx context.Context) (*wire.Frame, error) {
+// readPublication reads the publication on the leader. The barrier proves that a quorum still
+// follows this leader. A lease would not prove it, because the clock may stand still while the
+// VM is suspended.
+func (h *Hub) readPublication(ctx context.Context) (*wire.Frame, error) {
 	if _, err := h.Replica.Propose(ctx, &wire.Command{Kind: &wire.Command_Barrier{Barrier: &wire.Barrier{}}}); err != nil {
 		return nil, err
 	}
@@ -342,8 +352,8 @@
 	return &wire.Frame{Body: &wire.Frame_BeatReply{BeatReply: &wire.BeatReply{Version: v, Document: doc}}}, nil
 }
 
-// Publish puts a document in force if its version is the highest. It returns
-// once that is on the disks of a quorum.
+// Publish puts a document in force if its version is the highest so far. It returns once the
+// document is on the disks of a quorum.
 func (h *Hub) Publish(ctx context.Context, version uint64, doc []byte) error {
 	cmd := &wire.Command{Kind: &wire.Command_Publish{Publish: &wire.Publish{Version: version, Document: doc}}}
 	if _, err := h.Leader.Propose(ctx, cmd); err != nil {
@@ -352,14 +362,14 @@
 	return nil
 }
 
-// Newest returns the document in force and its version; no version below one
-// that was acknowledged before the call.
+// Newest returns the version and the document in force. The version is never lower than one that
+// was acknowledged before the call.
 func (h *Hub) Newest(ctx context.Context) (uint64, []byte, error) {
 	f, err := h.Leader.Ask(ctx, func() *wire.Frame {
 		return &wire.Frame{Body: &wire.Frame_ConfigQuery{ConfigQuery: &wire.ConfigQuery{}}}
 	})
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %w", ErrUnsure, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrNoQuorum, err)
 	}
 	return f.GetBeatReply().GetVersion(), f.GetBeatReply().GetDocument(), nil
 }
--- a/io/hub/limits.go
+++ b/io/hub/limits.go
@@ -13,161 +13,166 @@
 )
 
 type (
-	// limits is what upstreams have named of the requests that they take, by the answers
-	// that entries have seen. The zero value is ready.
+	// limits holds the request rates that upstreams accept, as they name them in answers and
+	// entries report them. The zero value is ready.
 	limits struct {
-		mu     sync.Mutex
-		byUp   map[string]limited
-		change signal
+		mu         sync.Mutex
+		byUpstream map[string]upstreamLimit
+		change     signal
 	}
 
-	limited struct {
-		rate  float64   // Requests a second.
-		sent  time.Time // When the request was sent whose answer named it.
-		heard time.Time // When that was reported last.
+	// upstreamLimit is the limit of one upstream.
+	upstreamLimit struct {
+		rate  float64   // Requests per second.
+		sent  time.Time // When the request was sent whose answer named the limit.
+		heard time.Time // When the limit was last reported.
 	}
 )
 
-// take notes what entries have seen, and returns the upstreams whose limits changed.
-// Answers may come in another order than that in which they were made: a stream's head
-// waits at a slow entry, or its report on a bad link. An answer without a limit ends one
-// only if its request was sent after the limit was heard of, and one to an older request
+// merge records what entries have seen and returns the upstreams whose limits changed. Reports
+// may arrive out of order, as a slow entry may delay the head of a stream, and a bad link its
+// report. So an answer without a limit ends the limit only if its request was sent after the
+// limit was last reported, and an answer to a request older than the one that named the limit
 // changes nothing.
-func (l *limits) take(now time.Time, list []*wire.Limit) []string {
+func (l *limits) merge(now time.Time, list []*wire.Limit) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var changed []string
-	listed := len(l.byUp)
-	named := false
+	countBefore := len(l.byUpstream)
+	added := false
 	for _, r := range list {
 		sent := now.Add(-time.Duration(r.GetAgeUs()) * time.Microsecond)
-		was, had := l.byUp[r.GetUpstream()]
+		prev, known := l.byUpstream[r.GetUpstream()]
 		switch {
 		case r.GetEnded():
-			if !had || !sent.After(was.heard) {
+			if !known || !sent.After(prev.heard) {
 				continue
 			}
-			delete(l.byUp, r.GetUpstream())
-		case had && sent.Before(was.sent):
+			delete(l.byUpstream, r.GetUpstream())
+		case known && sent.Before(prev.sent):
 			continue
 		default:
-			if l.byUp == nil {
-				l.byUp = map[string]limited{}
+			if l.byUpstream == nil {
+				l.byUpstream = map[string]upstreamLimit{}
 			}
-			l.byUp[r.GetUpstream()] = limited{r.GetPerSecond(), sent, now}
-			if had && was.rate == r.GetPerSecond() {
+			l.byUpstream[r.GetUpstream()] = upstreamLimit{r.GetPerSecond(), sent, now}
+			if known && prev.rate == r.GetPerSecond() {
 				continue
 			}
-			named = named || !had
+			added = added || !known
 		}
 		changed = append(changed, r.GetUpstream())
 	}
-	// A rate that changes with each answer must not wake all entries each time. They
-	// hear it with their next question; the scheduler's own grants keep to it at once.
-	if named || len(l.byUp) != listed {
-		l.change.raise()
+	// A rate that changes with each answer must not wake all entries each time. They get it with
+	// their next poll. The scheduler's own grants respect it at once.
+	if added || len(l.byUpstream) != countBefore {
+		l.change.broadcast()
 	}
 	return changed
 }
 
-// keep drops the limits of upstreams that are gone.
-func (l *limits) keep(known func(upstream string) bool) {
+// retain drops the limits of upstreams that are not known any more.
+func (l *limits) retain(known func(upstream string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	maps.DeleteFunc(l.byUp, func(id string, _ limited) bool { return !known(id) })
+	maps.DeleteFunc(l.byUpstream, func(id string, _ upstreamLimit) bool { return !known(id) })
 }
 
-// drop forgets the limit of an upstream that has started anew.
+// drop removes the limit of an upstream that has restarted.
 func (l *limits) drop(upstream string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.byUp, upstream)
+	delete(l.byUpstream, upstream)
 }
 
-// changed is closed when an upstream next names a limit or no longer does.
+// changed returns a channel that is closed when an upstream next names its first limit, or stops
+// naming one.
 func (l *limits) changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.change.wait()
 }
 
-// rate is the limit of an upstream; ok is false where it has none.
+// rate returns the limit of an upstream in requests per second. Ok is false if it has none.
 func (l *limits) rate(upstream string) (rate float64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e, ok := l.byUp[upstream]
-	return e.rate, ok
+	limit, ok := l.byUpstream[upstream]
+	return limit.rate, ok
 }
 
-// list is what an entry is told, with its own shares among the entries. Unless these are
-// all, it keeps the shares that it has.
-func (l *limits) list(now time.Time, node string, known func() (entries []string, all bool)) []*wire.Limit {
+// listFor returns the limits for an entry, with the shares of that entry. Known returns the
+// entries that share them; unless it has all of them, the entry is told to keep the shares that
+// it has.
+func (l *limits) listFor(now time.Time, node string, known func() (entries []string, all bool)) []*wire.Limit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.byUp) == 0 {
+	if len(l.byUpstream) == 0 {
 		return nil
 	}
 	entries, all := known()
-	list := make([]*wire.Limit, 0, len(l.byUp))
-	for _, id := range slices.Sorted(maps.Keys(l.byUp)) {
-		e := l.byUp[id]
+	list := make([]*wire.Limit, 0, len(l.byUpstream))
+	for _, id := range slices.Sorted(maps.Keys(l.byUpstream)) {
+		limit := l.byUpstream[id]
 		list = append(list, &wire.Limit{
-			Upstream: id, PerSecond: e.rate, AgeUs: now.Sub(e.sent).Microseconds(), Share: share(id, e.rate, node, entries), KeepShare: !all,
+			Upstream: id, PerSecond: limit.rate, AgeUs: now.Sub(limit.sent).Microseconds(), Share: limitShare(id, limit.rate, node, entries), KeepShare: !all,
 		})
 	}
 	return list
 }
 
-// share is the part of an upstream's limit that an entry may use by itself. Only so many
-// entries have one that each soon gets a whole request of it: with a small part for each
-// of hundreds, each would save up one, and all of them send it at once.
-func share(upstream string, rate float64, node string, entries []string) float64 {
-	most := min(1+int(min(rate, float64(len(entries)))), len(entries))
+// limitShare returns the fraction of an upstream's limit that an entry may use while it places
+// requests by itself. Only as many entries get a share as can soon send a whole request each: if
+// hundreds of entries had a tiny share, each would save up for one request, and all would send
+// it at once. The entries are chosen by rendezvous hashing.
+func limitShare(upstream string, rate float64, node string, entries []string) float64 {
+	holders := min(1+int(min(rate, float64(len(entries)))), len(entries))
 	weight := func(n string) uint64 { return xxhash.Sum64String(n + "\x00" + upstream) }
-	before := 0
+	rank := 0
 	for _, n := range entries {
 		if n != node && cmp.Or(cmp.Compare(weight(n), weight(node)), cmp.Compare(n, node)) < 0 {
-			before++
+			rank++
 		}
 	}
-	if before >= most {
+	if rank >= holders {
 		return 0
 	}
-	return 1 / float64(most)
+	return 1 / float64(holders)
 }
 
-// handleLimits takes what an entry has heard.
+// handleLimits takes the limits that an entry has seen.
 func (h *Hub) handleLimits(l *wire.Limits) error {
-	r := h.scheduler()
-	if r == nil {
-		return h.moved()
+	s := h.scheduler()
+	if s == nil {
+		return h.notLeaderFault()
 	}
-	h.limit(r, l.GetLimits())
+	h.applyLimits(s, l.GetLimits())
 	return nil
 }
 
-// limit notes limits and has the scheduler keep to them.
-func (h *Hub) limit(r *reign, list []*wire.Limit) {
-	for _, id := range r.limits.take(time.Now(), list) {
-		rate, ok := r.limits.rate(id)
-		h.Log.Info("Limit of an upstream changed.", "upstream", id, "limited", ok, "per-second", rate)
-		if a := r.beats.limit(time.Now(), id, r.limited(id)); a != nil {
-			r.sched.Announce(a)
+// applyLimits records limits and announces those that changed to the scheduler.
+func (h *Hub) applyLimits(s *scheduler, list []*wire.Limit) {
+	for _, id := range s.limits.merge(time.Now(), list) {
+		rate, ok := s.limits.rate(id)
+		h.Log.Info("Rate limit of an upstream changed.", "upstream", id, "limited", ok, "per-second", rate)
+		if a := s.upstreams.setLimit(time.Now(), id, s.limitFor(id)); a != nil {
+			s.sched.Announce(a)
 		}
 	}
 }
 
-// limited is the limit of an upstream as this scheduler keeps it, nil for none. One of a
-// data centre that is cut off has the part of its entries.
-func (r *reign) limited(upstream string) *wire.Limit {
-	rate, ok := r.limits.rate(upstream)
+// limitFor returns the limit that this scheduler enforces for an upstream, or nil for none. A
+// scheduler of a data centre that is cut off enforces a fraction in proportion to the entries
+// there.
+func (s *scheduler) limitFor(upstream string) *wire.Limit {
+	rate, ok := s.limits.rate(upstream)
 	if !ok {
 		return nil
 	}
-	if r.scope == centre {
-		r.mu.Lock()
-		rate *= float64(r.here) / float64(max(r.all, r.here, 1))
-		r.mu.Unlock()
+	if s.scope == scopeDataCentre {
+		s.mu.Lock()
+		rate *= float64(s.entriesHere) / float64(max(s.entriesTotal, s.entriesHere, 1))
+		s.mu.Unlock()
 	}
 	return &wire.Limit{Upstream: upstream, PerSecond: rate}
 }
--- a/io/hub/limits_test.go
+++ b/io/hub/limits_test.go
@@ -10,9 +10,9 @@
 	"azurelane/core/wire"
 )
 
-// Guards against a limit that is lost or taken back by answers that come late, and
-// against one that stays when it is no longer named.
-func TestLateAnswersChangeNoLimit(t *testing.T) {
+// Guards against a limit that is dropped or reverted by answers that arrive late, and against a
+// limit that stays after the upstream has stopped naming it.
+func TestLateAnswersDoNotChangeLimits(t *testing.T) {
 	const sec = time.Second
 	start := time.Unix(1000, 0)
 	named := func(rate float64, age time.Duration) *wire.Limit {
@@ -23,7 +23,7 @@
 	}
 	for _, tc := range []struct {
 		name  string
-		comes []*wire.Limit // A second between two.
+		comes []*wire.Limit // One second apart.
 		want  float64       // Below zero for none.
 	}{
 		{"none named", []*wire.Limit{ended(0)}, -1},
@@ -37,7 +37,7 @@
 	} {
 		var l limits
 		for i, r := range tc.comes {
-			l.take(start.Add(time.Duration(i)*sec), []*wire.Limit{r})
+			l.merge(start.Add(time.Duration(i)*sec), []*wire.Limit{r})
 		}
 		rate, ok := l.rate("a")
 		must.Eq(t, tc.want >= 0, ok, must.Sprint(tc.name))
@@ -47,42 +47,42 @@
 	}
 }
 
-// Guards against entries that use more than a limit together, or by so small parts that
-// each saves up a request and all are sent at once.
-func TestSharesOfALimit(t *testing.T) {
+// Guards against entries that together exceed a limit, and against shares so small that all
+// entries save up for one request and send it at once.
+func TestLimitShares(t *testing.T) {
 	for _, n := range []int{1, 3, 200} {
 		for _, rate := range []float64{0, 1.3, 9, 1000} {
 			var entries []string
 			for i := range n {
 				entries = append(entries, fmt.Sprint("entry-", i))
 			}
-			sum, parts := 0.0, 0
+			sum, holders := 0.0, 0
 			for _, e := range entries {
-				if s := share("up", rate, e, entries); s > 0 {
+				if s := limitShare("up", rate, e, entries); s > 0 {
 					sum += s
-					parts++
+					holders++
 				}
 			}
 			must.Between(t, 0.999, sum, 1.001, must.Sprint(n, rate))
-			must.LessEq(t, rate+1, float64(parts), must.Sprint(n, rate))
+			must.LessEq(t, rate+1, float64(holders), must.Sprint(n, rate))
 		}
 	}
 }
 
-// Guards against a limit that outlives the process that named it.
-func TestLimitsOfUpstreamsThatAreGone(t *testing.T) {
+// Guards against a limit that outlives the upstream process that named it.
+func TestLimitsOfGoneUpstreamsAreDropped(t *testing.T) {
 	var l limits
 	now := time.Unix(1000, 0)
-	l.take(now, []*wire.Limit{{Upstream: "a", PerSecond: 1}, {Upstream: "b", PerSecond: 1}, {Upstream: "c", PerSecond: 1}})
-	l.keep(func(id string) bool { return id != "a" })
+	l.merge(now, []*wire.Limit{{Upstream: "a", PerSecond: 1}, {Upstream: "b", PerSecond: 1}, {Upstream: "c", PerSecond: 1}})
+	l.retain(func(id string) bool { return id != "a" })
 	l.drop("b")
-	list := l.list(now, "e", func() ([]string, bool) { return []string{"e"}, true })
+	list := l.listFor(now, "e", func() ([]string, bool) { return []string{"e"}, true })
 	must.Len(t, 1, list)
 	must.Eq(t, "c", list[0].GetUpstream())
 }
 
 // Guards against a limit that changes with each answer and wakes all entries each time.
-func TestChangedRateWakesNobody(t *testing.T) {
+func TestChangedRateDoesNotWakeWatchers(t *testing.T) {
 	var l limits
 	now := time.Unix(1000, 0)
 	for _, tc := range []struct {
@@ -97,7 +97,7 @@
 	} {
 		now = now.Add(time.Second)
 		ch := l.changed()
-		must.Len(t, 1, l.take(now, []*wire.Limit{tc.limit}))
+		must.Len(t, 1, l.merge(now, []*wire.Limit{tc.limit}))
 		select {
 		case <-ch:
 			must.True(t, tc.wakes, must.Sprint(tc.name))
@@ -107,24 +107,24 @@
 	}
 }
 
-// Guards against a new scheduler that divides a limit among the few entries that have come
-// to it, so that together they send several times as much, and that tells each of them
-// that it is one of those few.
-func TestNewSchedulerLeavesShares(t *testing.T) {
+// Guards against a new scheduler that divides a limit among the few entries that have polled it
+// so far: each would be told a share that is too large, and together they would send several
+// times the limit.
+func TestNewSchedulerKeepsLimitShares(t *testing.T) {
 	const n, rate = 7, 3
-	run(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
-		must.NoError(t, h.Report(t.Context(), says("up", 1, wire.Upstream_STATE_SERVING)))
+	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
+		must.NoError(t, h.Report(t.Context(), newReport("up", 1, wire.Upstream_STATE_SERVING)))
 		var entries []string
 		for i := range n {
 			entries = append(entries, fmt.Sprint("entry-", i))
 		}
 		shares := map[string]float64{}
 		for _, e := range entries {
-			shares[e] = share("up", rate, e, entries)
+			shares[e] = limitShare("up", rate, e, entries)
 		}
 		limit := []*wire.Limit{{Upstream: "up", PerSecond: rate}}
 		for _, e := range entries {
-			news, err := ask(h, &wire.Watch{Node: e, Incarnation: e, Entries: n, Limits: limit})
+			news, err := askNews(h, &wire.Watch{Node: e, Incarnation: e, Entries: n, Limits: limit})
 			must.NoError(t, err)
 			must.Eq(t, n, news.GetEntries())
 			must.Len(t, 1, news.GetLimits())
@@ -140,32 +140,33 @@
 	})
 }
 
-// Guards against shares that stay for good when an entry of the scheduler before never comes.
-func TestSharesOfEntriesThatNeverCome(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
-		must.NoError(t, h.Report(t.Context(), says("up", 1, wire.Upstream_STATE_SERVING)))
+// Guards against shares that stay reserved for ever for an entry that never polls the new
+// scheduler.
+func TestLimitSharesOfUnseenEntriesExpire(t *testing.T) {
+	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
+		must.NoError(t, h.Report(t.Context(), newReport("up", 1, wire.Upstream_STATE_SERVING)))
 		w := &wire.Watch{Node: "e", Incarnation: "i", Entries: 2, Limits: []*wire.Limit{{Upstream: "up", PerSecond: 1}}}
-		news, err := ask(h, w)
+		news, err := askNews(h, w)
 		must.NoError(t, err)
 		must.True(t, news.GetLimits()[0].GetKeepShare())
-		time.Sleep(countFor)
-		news, err = ask(h, w)
+		time.Sleep(silentEntryRetention)
+		news, err = askNews(h, w)
 		must.NoError(t, err)
 		must.False(t, news.GetLimits()[0].GetKeepShare())
 		must.Eq(t, 1, news.GetLimits()[0].GetShare())
 	})
 }
 
-// Guards against upstreams behind a cut that get nothing, and whose limit does not end,
-// because the entries with a share are on the other side.
-func TestSharesBehindACut(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
-		cutOff(t, h, f)
+// Guards against upstreams in a data centre that is cut off which get no requests, and whose
+// limits thus never end, because the entries that hold shares are on the other side.
+func TestLimitSharesWhileCutOff(t *testing.T) {
+	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
+		h.DataCentre = "z1"
+		cutOffReplica(t, h, f)
 		w := &wire.Watch{
 			Node: "e", Incarnation: "i", DataCentre: "z1", Entries: 40, Alone: true, Limits: []*wire.Limit{{Upstream: "near", PerSecond: 1}},
 		}
-		news, err := ask(h, w)
+		news, err := askNews(h, w)
 		must.NoError(t, err)
 		must.Len(t, 1, news.GetLimits())
 		must.False(t, news.GetLimits()[0].GetKeepShare())
@@ -173,16 +174,17 @@
 	})
 }
 
-// Guards against an entry that takes a former limit for a new one: it dates what it is told
-// by the moment at which it comes.
-func TestNewsAreNotAsOldAsTheWait(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
-		must.NoError(t, h.Report(t.Context(), says("up", 1, wire.Upstream_STATE_SERVING)))
+// Guards against an entry that takes a former limit for a new one. The entry computes the time
+// of a limit from its age and the moment at which the answer arrives, so the age must not be
+// from before the wait.
+func TestLimitAgeIsCurrentAfterLongPoll(t *testing.T) {
+	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
+		must.NoError(t, h.Report(t.Context(), newReport("up", 1, wire.Upstream_STATE_SERVING)))
 		w := &wire.Watch{Node: "e", Incarnation: "i", Limits: []*wire.Limit{{Upstream: "up", PerSecond: 3}}}
-		news, err := ask(h, w)
+		news, err := askNews(h, w)
 		must.NoError(t, err)
-		time.AfterFunc(time.Second, func() { h.limit(h.lead(), []*wire.Limit{{Upstream: "up", PerSecond: 1}}) })
-		news, err = ask(h, &wire.Watch{
+		time.AfterFunc(time.Second, func() { h.applyLimits(h.leaderScheduler(), []*wire.Limit{{Upstream: "up", PerSecond: 1}}) })
+		news, err = askNews(h, &wire.Watch{
 			Node: "e", Incarnation: "i", Leader: news.GetLeader(), Version: news.GetVersion(), Revision: news.GetRevision(),
 			WaitUs: (2 * time.Second).Microseconds(),
 		})
--- a/io/hub/rates.go
+++ b/io/hub/rates.go
@@ -10,119 +10,124 @@
 )
 
 const (
-	// absentAfter is how long an entry is silent before the scheduler leaves it
-	// its part of the accounts' rates. An entry that follows asks again within
-	// two seconds.
-	absentAfter = 2800 * time.Millisecond
-	// comeWithin is how long entries of the leader before may take to come to a new one,
-	// before it leaves those that stay away their parts of the rates: most come within
-	// half of that.
-	comeWithin = 300 * time.Millisecond
-	// leastPart is what the scheduler keeps of a rate in any case.
-	leastPart = 0.2
+	// entrySilentAfter is the silence after which the scheduler reserves for an entry its share
+	// of the accounts' rates. A live entry polls again within 2 s.
+	entrySilentAfter = 2800 * time.Millisecond
+	// takeoverGrace is how long the entries of the former leader may take to poll the new one.
+	// After it the leader reserves shares of the rates for those that are missing. Most poll
+	// within half of that time.
+	takeoverGrace = 300 * time.Millisecond
+	// minLeaderShare is the share of a rate that the leader keeps in any case.
+	minLeaderShare = 0.2
 )
 
-// rates are the accounts' rates as the scheduler holds them, less what entries
-// may let pass that it doesn't hear. Without that an account which asks for all
-// it may have on both sides of a cut passes its rate by what the entries behind
-// it serve. The zero value is ready.
+// rates holds the accounts' rates, less what entries that the scheduler does not hear may still
+// admit. Without that deduction an account that asks for its whole rate on both sides of a
+// network partition would exceed its rate by what the entries on the other side admit. The zero
+// value is ready.
 type rates struct {
 	accounts map[string]acct.Account
-	used     map[string]*usage.Usage       // By entry incarnation.
-	told     map[string]map[string]float64 // Units a second before they came here, by entry incarnation and account.
-	toldAll  map[string]float64            // The same of all entries together: hundreds come in a moment.
-	absent   map[string]map[string]float64 // Units a second by entry incarnation and account.
-	// unseen is how many entries there are, for each that came here, that never did.
-	unseen float64
+	usage    map[string]*usage.Usage // By entry incarnation.
+	// priorRates holds the units per second that accounts used before an entry polled this
+	// scheduler, by entry incarnation and account.
+	priorRates map[string]map[string]float64
+	// priorTotals holds the sums of priorRates by account. They are maintained because hundreds
+	// of entries may poll at once.
+	priorTotals map[string]float64
+	// silentRates holds the units per second that accounts used at silent entries, by entry
+	// incarnation and account.
+	silentRates map[string]map[string]float64
+	// unseenRatio is the number of entries that never polled this scheduler, per entry that did.
+	unseenRatio float64
 }
 
-// add notes what an account used at an entry.
+// add records units that an account used at an entry.
 func (r *rates) add(now time.Time, incarnation, account string, units int64) {
 	if account == "" {
 		return
 	}
-	if r.used == nil {
-		r.used = map[string]*usage.Usage{}
+	if r.usage == nil {
+		r.usage = map[string]*usage.Usage{}
 	}
-	if r.used[incarnation] == nil {
-		r.used[incarnation] = &usage.Usage{}
+	if r.usage[incarnation] == nil {
+		r.usage[incarnation] = &usage.Usage{}
 	}
-	r.used[incarnation].Add(now, account, units)
+	r.usage[incarnation].Add(now, account, units)
 }
 
-// miss takes the list of silent entries and reports whether it has changed. What
-// they used is taken as it was when they fell silent.
-func (r *rates) miss(now time.Time, silent []string) bool {
-	old, changed := r.absent, false
-	r.absent = make(map[string]map[string]float64, len(silent))
+// setSilent takes the list of silent entries and reports whether it has changed. The rates of an
+// entry are those from before it fell silent.
+func (r *rates) setSilent(now time.Time, silent []string) bool {
+	old, changed := r.silentRates, false
+	r.silentRates = make(map[string]map[string]float64, len(silent))
 	for _, inc := range silent {
 		if old[inc] != nil {
-			r.absent[inc] = old[inc]
+			r.silentRates[inc] = old[inc]
 			continue
 		}
-		changed, r.absent[inc] = true, map[string]float64{}
+		changed, r.silentRates[inc] = true, map[string]float64{}
 		for name := range r.accounts {
-			if u := r.used[inc]; u != nil {
-				r.absent[inc][name] = u.Rate(now.Add(-absentAfter), name)
+			if u := r.usage[inc]; u != nil {
+				r.silentRates[inc][name] = u.Rate(now.Add(-entrySilentAfter), name)
 			}
 		}
 	}
-	return changed || len(old) != len(r.absent)
+	return changed || len(old) != len(r.silentRates)
 }
 
-// forget drops what an entry used that is gone.
+// forget drops the usage of an entry that is gone.
 func (r *rates) forget(incarnation string) {
-	delete(r.used, incarnation)
-	for account, units := range r.told[incarnation] {
-		r.toldAll[account] -= units
+	delete(r.usage, incarnation)
+	for account, units := range r.priorRates[incarnation] {
+		r.priorTotals[account] -= units
 	}
-	delete(r.told, incarnation)
+	delete(r.priorRates, incarnation)
 }
 
-// tell takes what accounts used at an entry before it came here, and reports whether
-// that is new.
-func (r *rates) tell(incarnation string, list []*wire.AccountUsage) bool {
-	if r.told[incarnation] != nil || len(list) == 0 {
+// addPrior takes what accounts used at an entry before it polled this scheduler, in units per
+// second. It reports whether that is new.
+func (r *rates) addPrior(incarnation string, list []*wire.AccountUsage) bool {
+	if r.priorRates[incarnation] != nil || len(list) == 0 {
 		return false
 	}
-	if r.told == nil {
-		r.told, r.toldAll = map[string]map[string]float64{}, map[string]float64{}
+	if r.priorRates == nil {
+		r.priorRates, r.priorTotals = map[string]map[string]float64{}, map[string]float64{}
 	}
-	r.told[incarnation] = make(map[string]float64, len(list))
+	r.priorRates[incarnation] = make(map[string]float64, len(list))
 	for _, a := range list {
-		r.told[incarnation][a.GetAccount()] += float64(a.GetUnits())
-		r.toldAll[a.GetAccount()] += float64(a.GetUnits())
+		r.priorRates[incarnation][a.GetAccount()] += float64(a.GetUnits())
+		r.priorTotals[a.GetAccount()] += float64(a.GetUnits())
 	}
 	return true
 }
 
-// guess is what an account used before, by what the entries that came have told: those
-// that did not come yet are taken to be like them, of so many in all.
-func (r *rates) guess(all int64, account string) float64 {
-	return r.toldAll[account] * max(float64(all)/float64(max(len(r.told), 1)), 1)
+// estimatePrior estimates what an account used before, in units per second. All is the number of
+// entries; those that have not reported are taken to be like those that have.
+func (r *rates) estimatePrior(all int64, account string) float64 {
+	return r.priorTotals[account] * max(float64(all)/float64(max(len(r.priorRates), 1)), 1)
 }
 
-// part is the part of an account's rate that is the leader's own.
-func (r *rates) part(name string) float64 {
-	// Those that this leader never heard are taken to use what the others do.
-	used, rate := r.usedAbsent(name)+r.unseen*r.toldAll[name], r.accounts[name].Rate
+// leaderShare returns the share of an account's rate that the leader admits itself.
+func (r *rates) leaderShare(name string) float64 {
+	// Entries that this leader never heard are taken to use as much as the others.
+	used, rate := r.silentRate(name)+r.unseenRatio*r.priorTotals[name], r.accounts[name].Rate
 	if used == 0 || rate <= 0 {
 		return 1
 	}
-	return max(1-allow.LeftPart*used/rate, leastPart)
+	return max(1-allow.LeftPart*used/rate, minLeaderShare)
 }
 
-// alone is the part of an account's rate that is left to a scheduler of one data
-// centre, which has a share of all entries.
-func (r *rates) alone(name string, share float64) float64 {
-	return allow.Alone(share, r.toldAll[name], r.accounts[name].Rate)
+// cutOffShare returns the share of an account's rate that a scheduler of one data centre admits.
+// Share is its fraction of all entries.
+func (r *rates) cutOffShare(name string, share float64) float64 {
+	return allow.Alone(share, r.priorTotals[name], r.accounts[name].Rate)
 }
 
-// usedAbsent is what an account used at entries that have fallen silent.
-func (r *rates) usedAbsent(account string) float64 {
-	n := 0.0
-	for _, by := range r.absent {
-		n += by[account]
+// silentRate returns what an account used at silent entries, in units per second.
+func (r *rates) silentRate(account string) float64 {
+	total := 0.0
+	for _, accounts := range r.silentRates {
+		total += accounts[account]
 	}
-	return n
+	return total
 }
--- a/io/hub/rates_test.go
+++ b/io/hub/rates_test.go
@@ -11,103 +11,104 @@
 	"azurelane/core/wire"
 )
 
-// Two entries serve an account's calls. One of them is cut off and goes on
-// serving its callers within its part of the rate. The account asks for all that
-// it may have at the other one, too: once the scheduler has missed the entry it
-// lets less pass, and when the entry is back, all of it again.
-func TestSilentEntriesKeepTheirPart(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
-		passes := func(span time.Duration) float64 { return passes(t, h, span) }
+// Two entries serve an account. One of them is cut off and goes on serving within its share of
+// the rate, while the account asks for its whole rate at the other. Once the scheduler has
+// noticed the silent entry it admits less. When that entry is back, it admits the whole rate
+// again.
+func TestSilentEntriesKeepTheirShare(t *testing.T) {
+	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
+		rate := func(span time.Duration) float64 { return admittedRate(t, h, span) }
 		for range 100 {
-			follow(t, h, "far")
-			h.lead().used(&wire.Usage{Incarnation: "far", Accounts: []*wire.AccountUsage{{Account: "a", Units: 40}}})
+			pollAs(t, h, "far")
+			h.leaderScheduler().chargeUsage(&wire.Usage{Incarnation: "far", Accounts: []*wire.AccountUsage{{Account: "a", Units: 40}}})
 			time.Sleep(100 * time.Millisecond)
 		}
-		passes(absentAfter + time.Second) // It uses up its burst.
-		must.Between(t, 540, passes(4*time.Second), 620)
-		follow(t, h, "far")
+		rate(entrySilentAfter + time.Second) // It uses up its burst.
+		must.Between(t, 540, rate(4*time.Second), 620)
+		pollAs(t, h, "far")
 		time.Sleep(time.Second)
-		passes(2 * time.Second)
-		follow(t, h, "far")
-		must.Between(t, 950, passes(2*time.Second), 1100)
+		rate(2 * time.Second)
+		pollAs(t, h, "far")
+		must.Between(t, 950, rate(2*time.Second), 1100)
 	})
 }
 
-// A data centre is cut off together with the leader, and an account asks for all it may
-// have on both sides. The next leader has never heard the entries behind the cut, which
-// go on with the parts of the rates that were used there; it leaves them as much as
-// their number tells. Without that the account's servers get a fifth more than was
-// agreed. Once they come, or don't for as long as silent entries count, it is whole.
-func TestNextLeaderLeavesWhatItNeverHeard(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
-		_, err := ask(h, &wire.Watch{Node: "near", Incarnation: "near", Entries: 2, Rates: []*wire.AccountUsage{{Account: "a", Units: 500}}})
+// A data centre is cut off together with the leader, and an account asks for its whole rate on
+// both sides. The new leader has never heard the entries that are cut off, which go on admitting
+// what was used there. It reserves rates for them by their number; otherwise the account's
+// servers would get a fifth more than agreed. The whole rate is admitted again once the entries
+// poll, or once silentEntryRetention has passed.
+func TestNewLeaderReservesRateForUnseenEntries(t *testing.T) {
+	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
+		_, err := askNews(h, &wire.Watch{Node: "near", Incarnation: "near", Entries: 2, Rates: []*wire.AccountUsage{{Account: "a", Units: 500}}})
 		must.NoError(t, err)
-		passes(t, h, 2*time.Second) // It uses up its burst.
-		must.Between(t, 430, passes(t, h, 4*time.Second), 520)
-		follow(t, h, "far")
+		admittedRate(t, h, 2*time.Second) // It uses up its burst.
+		must.Between(t, 430, admittedRate(t, h, 4*time.Second), 520)
+		pollAs(t, h, "far")
 		time.Sleep(time.Second)
-		passes(t, h, 2*time.Second)
-		follow(t, h, "far")
-		must.Between(t, 950, passes(t, h, 2*time.Second), 1100)
+		admittedRate(t, h, 2*time.Second)
+		pollAs(t, h, "far")
+		must.Between(t, 950, admittedRate(t, h, 2*time.Second), 1100)
 	})
 }
 
-// An account asks for several times its rate when the leader changes. The first of ten
-// entries that come to the next one tells what it saw used. Callers get no whole burst
-// again at that entry before the others have come.
-func TestNoBurstAtATakeover(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
-		_, err := ask(h, &wire.Watch{Node: "near", Incarnation: "near", Entries: 10, Rates: []*wire.AccountUsage{{Account: "a", Units: 120}}})
+// An account asks for several times its rate when the leader changes. The first of ten entries
+// reports to the new leader what the account used there. The account must not get a full burst
+// again before the other entries have reported.
+func TestNoFullBurstAfterTakeover(t *testing.T) {
+	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
+		_, err := askNews(h, &wire.Watch{Node: "near", Incarnation: "near", Entries: 10, Rates: []*wire.AccountUsage{{Account: "a", Units: 120}}})
 		must.NoError(t, err)
-		r, units := h.lead(), 0
-		r.mu.Lock()
-		defer r.mu.Unlock()
+		s, units := h.leaderScheduler(), 0
+		s.mu.Lock()
+		defer s.mu.Unlock()
 		for ok := true; ok; units += 20 {
-			_, ok = r.allow.Take(time.Now(), "a", 20)
+			_, ok = s.allow.Take(time.Now(), "a", 20)
 		}
 		must.Less(t, 200, units)
 	})
 }
 
-func TestEntriesThatNeverComeAreForgotten(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
-		_, err := ask(h, &wire.Watch{Node: "near", Incarnation: "near", Entries: 2, Rates: []*wire.AccountUsage{{Account: "a", Units: 500}}})
+// Guards against rates that stay reserved for ever for entries that never poll the new leader.
+func TestUnseenEntriesAreForgotten(t *testing.T) {
+	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
+		_, err := askNews(h, &wire.Watch{Node: "near", Incarnation: "near", Entries: 2, Rates: []*wire.AccountUsage{{Account: "a", Units: 500}}})
 		must.NoError(t, err)
-		passes(t, h, countFor+time.Second)
-		must.Between(t, 950, passes(t, h, 2*time.Second), 1100)
+		admittedRate(t, h, silentEntryRetention+time.Second)
+		must.Between(t, 950, admittedRate(t, h, 2*time.Second), 1100)
 	})
 }
 
-// passes is what an account that asks for more than its rate gets through an entry that
-// lives, in units a second.
-func passes(t *testing.T, h *Hub, span time.Duration) float64 {
+// admittedRate returns how many units per second are admitted, through a live entry, for an
+// account that asks for more than its rate.
+func admittedRate(t *testing.T, h *Hub, span time.Duration) float64 {
 	t.Helper()
 	units := 0.0
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		follow(t, h, "near")
-		r := h.lead()
-		r.mu.Lock()
-		if _, ok := r.allow.Take(time.Now(), "a", 20); ok {
+		pollAs(t, h, "near")
+		s := h.leaderScheduler()
+		s.mu.Lock()
+		if _, ok := s.allow.Take(time.Now(), "a", 20); ok {
 			units += 20
 		}
-		r.mu.Unlock()
+		s.mu.Unlock()
 	}
 	return units / span.Seconds()
 }
 
-// follow shows that an entry lives.
-func follow(t *testing.T, h *Hub, name string) {
+// pollAs polls once as an entry of the given name, which keeps that entry alive.
+func pollAs(t *testing.T, h *Hub, name string) {
 	t.Helper()
-	_, err := ask(h, &wire.Watch{Node: name, Incarnation: name})
+	_, err := askNews(h, &wire.Watch{Node: name, Incarnation: name})
 	must.NoError(t, err)
 }
 
-// Guards against two schedulers whose parts of a rate can't be told from their logs, and
-// against a line for each entry that comes.
-func TestPartsOfRatesAreTold(t *testing.T) {
+// Guards against two schedulers whose shares of a rate don't show in their logs, and against a
+// log line for each entry that connects.
+func TestRateSharesAreLogged(t *testing.T) {
 	var lines []string
-	r := &reign{scope: centre, log: funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{})}
-	r.install(1, map[string]acct.Account{"a": {Rate: 1000, Burst: 1000}})
+	s := &scheduler{scope: scopeDataCentre, log: funcr.New(func(_, args string) { lines = append(lines, args) }, funcr.Options{})}
+	s.installAccounts(1, map[string]acct.Account{"a": {Rate: 1000, Burst: 1000}})
 	now := time.Unix(1000, 0)
 	for _, tc := range []struct {
 		after time.Duration
@@ -116,15 +117,15 @@
 	}{
 		{0, "e1", `"parts"={"a"=0.24} "entries-here"=1 "entries"=10`},
 		{0, "e2", ""},
-		{partsEvery, "", `"parts"={"a"=0.48} "entries-here"=2 "entries"=10`},
-		{partsEvery, "", ""},
+		{sharesLogInterval, "", `"parts"={"a"=0.48} "entries-here"=2 "entries"=10`},
+		{sharesLogInterval, "", ""},
 	} {
 		now = now.Add(tc.after)
 		if tc.entry != "" {
-			r.join(&wire.Watch{Incarnation: tc.entry, Entries: 10, Rates: used}, r.here+1)
+			s.registerEntry(&wire.Watch{Incarnation: tc.entry, Entries: 10, Rates: priorUsage}, s.entriesHere+1)
 		}
 		lines = nil
-		r.tellParts(now)
+		s.logRateShares(now)
 		if tc.want == "" {
 			must.SliceEmpty(t, lines)
 			continue
--- /dev/null
+++ b/io/hub/scheduler.go
@@ -0,0 +1,243 @@
+package hub
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"azurelane/core/acct"
+	"azurelane/core/allow"
+	"azurelane/core/refuse"
+	"azurelane/core/wire"
+	"azurelane/io/logs"
+	"azurelane/io/sched"
+	"azurelane/io/stats"
+)
+
+// scheduler is the state of a replica from when it starts to schedule until it stops.
+type scheduler struct {
+	id             string // Incarnation, by which entries know the scheduler.
+	scope          scope
+	sched          *sched.Sched
+	upstreams      upstreamTable
+	reachability   reachability
+	bans           bans
+	limits         limits
+	stats          *stats.Stats
+	log            logr.Logger
+	refusalLog     *logs.Budget // Limits the log lines of refused tickets.
+	speedsLoggedAt time.Time    // Used by sweep alone.
+
+	mu        sync.Mutex
+	allow     allow.Allow
+	rates     rates
+	version   uint64
+	startedAt time.Time
+	// entriesHere is the number of entries in this data centre, for a scheduler of one data
+	// centre. entriesTotal is the number of all entries, as the former scheduler told the
+	// entries.
+	entriesHere, entriesTotal int64
+	loggedShares              map[string]float64 // Shares of rates as last logged, by account.
+	sharesLoggedAt            time.Time
+}
+
+// installAccounts puts the accounts' rates in force.
+func (s *scheduler) installAccounts(version uint64, accounts map[string]acct.Account) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.version, s.rates.accounts = version, accounts
+	s.updateShares(time.Now())
+}
+
+// updateShares recomputes the shares of the accounts' rates that this scheduler may admit. The
+// lock is held.
+func (s *scheduler) updateShares(now time.Time) {
+	s.allow.SetEach(now, s.rates.accounts, s.accountShare)
+}
+
+// accountShare returns the share of an account's rate that this scheduler may admit. The lock is
+// held.
+func (s *scheduler) accountShare(account string) float64 {
+	if s.scope == scopeDataCentre {
+		return s.rates.cutOffShare(account, float64(s.entriesHere)/float64(max(s.entriesTotal, s.entriesHere, 1)))
+	}
+	return s.rates.leaderShare(account)
+}
+
+// registerEntry takes the rates that an entry reports when it first polls this scheduler, and
+// its count of all entries. Here is the number of entries that the scheduler may serve.
+func (s *scheduler) registerEntry(w *wire.Watch, here int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.entriesTotal = max(s.entriesTotal, w.GetEntries())
+	now, estimates := time.Now(), map[string]float64{}
+	for _, a := range w.GetRates() {
+		estimates[a.GetAccount()] = s.rates.estimatePrior(s.entriesTotal, a.GetAccount())
+	}
+	isNew := s.rates.addPrior(w.GetIncarnation(), w.GetRates())
+	if s.scope == scopeDeployment {
+		// The accounts of a leader start with a full burst, as after a full restart nobody has
+		// used anything for a while. When they started with a fraction of a burst, as is needed
+		// if another leader may have just admitted all of it, most callers who returned after
+		// the restart were refused although they were far below their rate. What entries report
+		// as used before is deducted instead, and the first entries stand for all: otherwise,
+		// until the last one has reported, an account that asks for several times its rate would
+		// get a full burst again.
+		for account, units := range estimates {
+			if more := s.rates.estimatePrior(s.entriesTotal, account) - units; more > 0 {
+				s.allow.Used(now, account, more)
+			}
+		}
+		return
+	}
+	if !isNew && s.entriesHere == here {
+		return
+	}
+	s.entriesHere = here
+	s.updateShares(now)
+	for account := range s.rates.accounts {
+		s.allow.Grown(now, account) // Adds the units that a larger share starts with.
+	}
+}
+
+// entryCount returns how many entries share the limits. It includes entries that a scheduler of
+// one data centre does not hear, and those that have not polled a new leader yet.
+func (s *scheduler) entryCount(here int64) int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.scope == scopeDeployment && time.Since(s.startedAt) > silentEntryRetention {
+		return here
+	}
+	return max(here, s.entriesTotal)
+}
+
+// setSilentEntries reserves for silent entries the rates that they may still admit.
+func (s *scheduler) setSilentEntries(now time.Time, silent []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.rates.setSilent(now, silent) {
+		return
+	}
+	s.updateShares(now)
+	s.log.Info("Silent entries with reserved rates changed.", "incarnations", silent)
+}
+
+// reserveForUnseen reserves rates for entries that followed the former leader and have not
+// polled this one: they may be cut off together with it and still serve. Here is the number of
+// entries that have polled.
+func (s *scheduler) reserveForUnseen(now time.Time, here int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	ratio := 0.0
+	if age := now.Sub(s.startedAt); s.scope == scopeDeployment && age > takeoverGrace && age <= silentEntryRetention && here > 0 {
+		ratio = float64(max(s.entriesTotal-here, 0)) / float64(here)
+	}
+	if ratio == s.rates.unseenRatio {
+		return
+	}
+	s.rates.unseenRatio = ratio
+	s.updateShares(now)
+	s.log.Info("Number of entries that never polled this leader changed.", "here", here, "in-all", s.entriesTotal)
+}
+
+// forgetEntry drops the slots and the usage of an entry that is gone.
+func (s *scheduler) forgetEntry(incarnation string) {
+	s.mu.Lock()
+	s.rates.forget(incarnation)
+	s.mu.Unlock()
+	s.sched.Forget(incarnation)
+}
+
+// submit charges a ticket to its account and calls done with the decision.
+func (s *scheduler) submit(ctx context.Context, t *wire.Ticket, done func(*wire.Decision)) {
+	start := time.Now()
+	s.mu.Lock()
+	wait, ok := time.Duration(0), true
+	// A second send of a request costs no units and needs none to be left.
+	if t.GetUnits() > 0 {
+		wait, ok = s.allow.Take(start, t.GetAccount(), t.GetUnits())
+	}
+	if ok {
+		s.rates.add(start, t.GetIncarnation(), t.GetAccount(), t.GetUnits())
+	}
+	version := s.version
+	s.mu.Unlock()
+	if !ok {
+		d := refuse.Ticket(t, refuse.AccountLimit, wait)
+		s.recordRefusal(t, d.GetRefusal(), start, version)
+		done(d)
+		return
+	}
+	s.sched.Queue(ctx, t, func(d *wire.Decision) {
+		if refusal := d.GetRefusal(); refusal != nil {
+			s.refund(t)
+			s.recordRefusal(t, refusal, start, version)
+		} else {
+			s.recordGrant(t, d.GetGrant(), start)
+		}
+		done(d)
+	})
+}
+
+// recordGrant counts and logs a granted ticket.
+func (s *scheduler) recordGrant(t *wire.Ticket, g *wire.Grant, start time.Time) {
+	waited := time.Since(start)
+	s.stats.Count("tickets-granted", 1)
+	s.stats.Time("ticket-wait", waited)
+	if log := s.log.V(1); log.Enabled() {
+		log.Info("Ticket granted.", "request", t.GetRequest(), "entry", t.GetEntry(), "upstream", g.GetUpstream(), "waited", waited.String())
+	}
+}
+
+// refund returns the units that a refused ticket was charged.
+func (s *scheduler) refund(t *wire.Ticket) {
+	now := time.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.allow.Charge(now, t.GetAccount(), -t.GetUnits())
+	s.rates.add(now, t.GetIncarnation(), t.GetAccount(), -t.GetUnits())
+}
+
+// recordRefusal counts a refused ticket, and logs it if refusalLog has room.
+func (s *scheduler) recordRefusal(t *wire.Ticket, refusal *wire.Refusal, start time.Time, version uint64) {
+	s.stats.Count("tickets-refused-"+refusal.GetCode(), 1)
+	leftOut, ok := s.refusalLog.Take(start)
+	if !ok {
+		return
+	}
+	s.log.Info("Ticket refused.", "request", t.GetRequest(), "entry", t.GetEntry(), "pool", t.GetPool(), "route", t.GetRoute(),
+		"prompt", t.GetPromptTokens(), "answer", t.GetAnswerTokens(), "deadline-left", micros(t.GetDeadlineUs()).String(),
+		"account", t.GetAccount(), "units", t.GetUnits(), "code", refusal.GetCode(), "retry-after", micros(refusal.GetRetryAfterUs()).String(),
+		"waited", time.Since(start).String(), "objective-left", micros(t.GetObjectiveUs()).String(),
+		"returned", t.GetReturned(), "waiting", s.sched.Waiting(), "version", version, "scheduler", s.id, "lines-left-out", leftOut)
+}
+
+func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
+
+// release frees a slot. A completed run shows that its upstream is alive, even if the upstream's
+// announcements get lost.
+func (s *scheduler) release(rel *wire.Release) {
+	if rel.GetWhole() {
+		now := time.Now()
+		dc, a := s.upstreams.markServed(now, rel.GetUpstream())
+		if a != nil {
+			s.sched.Announce(a)
+		}
+		if dc != "" {
+			s.reachability.markServed(now, dc)
+		}
+	}
+	s.sched.Release(rel)
+}
+
+// chargeUsage charges accounts for requests that an entry served without tickets.
+func (s *scheduler) chargeUsage(u *wire.Usage) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, a := range u.GetAccounts() {
+		s.allow.Charge(time.Now(), a.GetAccount(), a.GetUnits())
+		s.rates.add(time.Now(), u.GetIncarnation(), a.GetAccount(), a.GetUnits())
+	}
+}
--- a/io/hub/scope.go
+++ b/io/hub/scope.go
@@ -2,60 +2,63 @@
 
 import "azurelane/core/wire"
 
-// scope is for whom a replica schedules.
+// scope is the set of entries that a replica schedules for.
 //
-// The leader schedules for all entries that reach it. Those of a data centre that is
-// cut off don't, and no leader is elected there. Each by itself they know little: in
-// the first half second they wait for upstreams on the other side, an account is held
-// to the share of a single entry, which is less than one large request where there
-// are hundreds, and many place requests at the same engine. So a replica that is cut
-// off with them schedules the upstreams of its own data centre for them, within the
-// parts of the rates that the leader leaves to entries it has missed. It only places
-// requests; what needs the log it refuses as any replica without a quorum.
+// The leader schedules for all entries that reach it. Entries of a data centre that is cut off
+// do not reach it, and no leader is elected there. On their own these entries know too little.
+// For the first half second they wait for upstreams on the other side. An account is held to the
+// share of a single entry, which is less than one large request where there are hundreds of
+// entries. Many entries place requests at the same engine. So a replica that is cut off with
+// them schedules the upstreams of its own data centre for them, within the shares of the rates
+// that the leader reserves for silent entries. It only places requests. Like any replica without
+// a quorum, it refuses what needs the log.
 type scope int
 
 const (
-	nowhere scope = iota
-	centre
-	deployment
+	scopeNone scope = iota
+	scopeDataCentre
+	scopeDeployment
 )
 
-// scope is for whom this replica should schedule now.
-func (h *Hub) scope() scope {
+// wantedScope returns the scope that this replica should schedule for now.
+func (h *Hub) wantedScope() scope {
 	if h.Replica.Leads() {
-		return deployment
+		return scopeDeployment
 	}
 	if v, _ := h.Replica.Publication(); v > 0 && h.Replica.CutOff() {
-		return centre
+		return scopeDataCentre
 	}
-	return nowhere
+	return scopeNone
 }
 
-func (s scope) begins() string {
-	if s == centre {
-		return "Schedules its data centre, which is cut off."
+// startMessage returns the log message for the start of a scheduler.
+func (s scope) startMessage() string {
+	if s == scopeDataCentre {
+		return "Data centre is cut off; scheduling for its entries."
 	}
 	return "Leadership gained."
 }
 
-func (s scope) ends() string {
-	if s == centre {
-		return "No longer schedules its data centre."
+// stopMessage returns the log message for the end of a scheduler.
+func (s scope) stopMessage() string {
+	if s == scopeDataCentre {
+		return "Data centre is no longer cut off; scheduling for its entries ends."
 	}
 	return "Leadership lost."
 }
 
-// serves reports whether a scheduler is there for an entry. One of a data centre is for
-// entries that reach no replica elsewhere: when only the way between replicas is cut,
-// entries that stayed with a former leader would hear of no configuration accepted
-// since, and serve callers by routes and keys that are no longer in force.
-func (h *Hub) serves(r *reign, w *wire.Watch) bool {
-	return r.scope == deployment || (w.GetAlone() && w.GetDataCentre() == h.Centre)
+// serves reports whether a scheduler is meant for an entry. A scheduler of one data centre
+// serves only entries that reach no replica elsewhere. When only the links between replicas are
+// cut, entries that stayed with a former leader would miss configurations accepted since, and
+// would serve callers by routes and keys that are no longer in force.
+func (h *Hub) serves(s *scheduler, w *wire.Watch) bool {
+	return s.scope == scopeDeployment || (w.GetAlone() && w.GetDataCentre() == h.DataCentre)
 }
 
-// dataCentre is the one for which a scheduler works, empty for all.
-func (r *reign) dataCentre(own string) string {
-	if r.scope == centre {
+// dataCentre returns the data centre that the scheduler is limited to, which is own, or an empty
+// string if it schedules for all.
+func (s *scheduler) dataCentre(own string) string {
+	if s.scope == scopeDataCentre {
 		return own
 	}
 	return ""
--- a/io/hub/scope_test.go
+++ b/io/hub/scope_test.go
@@ -14,150 +14,149 @@
 	"azurelane/core/wire"
 )
 
-// cutOff takes the leadership away and puts the replica behind a cut, with an
-// upstream on each side.
-func cutOff(t *testing.T, h *Hub, f *fakeReplica) {
+// cutOffReplica takes the leadership from the replica and cuts it off from the others, with an
+// upstream on each side of the cut.
+func cutOffReplica(t *testing.T, h *Hub, f *fakeReplica) {
 	t.Helper()
-	far := says("far", 1, wire.Upstream_STATE_SERVING)
+	far := newReport("far", 1, wire.Upstream_STATE_SERVING)
 	far.Upstream.DataCentre = "z2"
-	must.NoError(t, h.Report(t.Context(), says("near", 1, wire.Upstream_STATE_SERVING)))
+	must.NoError(t, h.Report(t.Context(), newReport("near", 1, wire.Upstream_STATE_SERVING)))
 	must.NoError(t, h.Report(t.Context(), far))
 	f.mu.Lock()
 	f.cutOff = true
 	f.mu.Unlock()
-	f.lead(false)
+	f.setLeads(false)
 	synctest.Wait()
 }
 
-// used is what an account used at an entry before the cut.
-var used = []*wire.AccountUsage{{Account: "a", Units: 250}}
+// priorUsage is the rate of an account at an entry before the cut, in units per second.
+var priorUsage = []*wire.AccountUsage{{Account: "a", Units: 250}}
 
-// A data centre is cut off with its control replica, its entries and its upstreams.
-// Callers there go on: their entries follow that replica, which places requests at
-// upstreams of this side alone. An entry of another data centre is sent away, and
-// once the replica hears a leader again, all are.
+// A data centre is cut off with its control replica, its entries and its upstreams. Its entries
+// poll that replica, which places requests only at upstreams on its side. Entries of other data
+// centres are sent away, and so are all entries once the replica follows a leader again.
 func TestSchedulesItsDataCentreWhileCutOff(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
-		cutOff(t, h, f)
-		n, err := ask(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Entries: 40, Rates: used, Alone: true})
+	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
+		h.DataCentre = "z1"
+		cutOffReplica(t, h, f)
+		n, err := askNews(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Entries: 40, Rates: priorUsage, Alone: true})
 		must.NoError(t, err)
-		must.Eq(t, 40, n.GetEntries(), must.Sprint("limits are shared with those behind the cut, too"))
-		_, err = ask(h, &wire.Watch{Node: "o", Incarnation: "o", DataCentre: "z2"})
+		must.Eq(t, 40, n.GetEntries(), must.Sprint("limits are also shared with the entries on the other side of the cut"))
+		_, err = askNews(h, &wire.Watch{Node: "o", Incarnation: "o", DataCentre: "z2"})
 		must.Error(t, err)
 		for id := range uint64(3) {
 			d := submit(h, id, 1)
 			must.Eq(t, "near", d.GetGrant().GetUpstream(), must.Sprint(d))
 		}
-		must.Nil(t, h.lead(), must.Sprint("it is no leader: what has to be written down is refused"))
+		must.Nil(t, h.leaderScheduler(), must.Sprint("it does not lead, so what needs the log is refused"))
 		f.mu.Lock()
 		f.cutOff = false
-		f.tell()
+		f.notifyLocked()
 		f.mu.Unlock()
 		synctest.Wait()
-		_, err = ask(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Alone: true})
+		_, err = askNews(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Alone: true})
 		must.Error(t, err)
 	})
 }
 
-// The leader loses its way to the other replicas, and its entries keep theirs. It
-// schedules for entries that reach nobody else; one that has followed it so far is
-// sent to look for the next leader. Following on it would hear of no configuration
-// that is accepted elsewhere, for as long as the cut lasts.
-func TestFollowersOfALeaderLookForTheNext(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
-		n, err := ask(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1"})
+// The leader loses its links to the other replicas, while its entries keep theirs. It then
+// schedules only for entries that reach no other replica, and sends away those that have
+// followed it so far: they would miss any configuration that is accepted elsewhere for as long
+// as the cut lasts.
+func TestEntriesLeaveCutOffLeader(t *testing.T) {
+	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
+		h.DataCentre = "z1"
+		n, err := askNews(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1"})
 		must.NoError(t, err)
-		cutOff(t, h, f)
-		_, err = ask(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Leader: n.GetLeader()})
+		cutOffReplica(t, h, f)
+		_, err = askNews(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Leader: n.GetLeader()})
 		must.Error(t, err)
 	})
 }
 
-// Upstreams behind the cut announce themselves to the replica there, which can write
-// nothing down. One that serves on is told so and stays in use; one that leaves gets
-// no more work, but no word that everyone knows of it.
+// Upstreams in a data centre that is cut off announce themselves to the replica there, which
+// can't store anything. The announcement of a serving upstream is acknowledged, and the upstream
+// stays in use. One that leaves gets no more requests, but no acknowledgement that all entries
+// know of it.
 func TestAnnouncementsWhileCutOff(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
-		cutOff(t, h, f)
-		_, err := ask(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Rates: used, Alone: true})
+	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
+		h.DataCentre = "z1"
+		cutOffReplica(t, h, f)
+		_, err := askNews(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Rates: priorUsage, Alone: true})
 		must.NoError(t, err)
 		for seq := range uint64(10) {
-			must.NoError(t, h.Report(t.Context(), says("near", 2+seq, wire.Upstream_STATE_SERVING)))
-			time.Sleep(beatEvery)
+			must.NoError(t, h.Report(t.Context(), newReport("near", 2+seq, wire.Upstream_STATE_SERVING)))
+			time.Sleep(announceInterval)
 		}
 		must.Eq(t, "near", submit(h, 1, 1).GetGrant().GetUpstream())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		must.Error(t, h.Report(ctx, says("near", 20, wire.Upstream_STATE_LEAVING)))
+		must.Error(t, h.Report(ctx, newReport("near", 20, wire.Upstream_STATE_LEAVING)))
 		must.NotNil(t, submit(h, 2, 1).GetRefusal())
 	})
 }
 
-// Half of an account's calls came to entries that are now behind a cut. The scheduler
-// there lets pass what the leader leaves to them: what they used of late, and not a
-// whole rate on each side.
+// Entries that served half of an account's requests are cut off. The scheduler there admits what
+// the leader reserves for those entries, which is what they used lately, and not the whole rate
+// on each side.
 func TestRatesWhileCutOff(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
-		cutOff(t, h, f)
+	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
+		h.DataCentre = "z1"
+		cutOffReplica(t, h, f)
 		for _, e := range []string{"e1", "e2"} {
-			_, err := ask(h, &wire.Watch{
-				Node: e, Incarnation: e, DataCentre: "z1", Entries: 10, Rates: used, Alone: true,
+			_, err := askNews(h, &wire.Watch{
+				Node: e, Incarnation: e, DataCentre: "z1", Entries: 10, Rates: priorUsage, Alone: true,
 			})
 			must.NoError(t, err)
 		}
-		must.Between(t, 450, passesHere(h), 550)
+		must.Between(t, 450, admittedRateHere(h), 550)
 	})
 }
 
-// Guards against a former leader that takes the entries of all data centres for those
-// behind the cut with it: an account gets half of its rate there, beside what the next
-// leader lets pass.
-func TestRatesWhileAFormerLeaderIsCutOff(t *testing.T) {
-	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
+// Guards against a former leader that counts the entries of all data centres as cut off together
+// with it. An account would get half of its rate there, on top of what the next leader admits.
+func TestRatesOfCutOffFormerLeader(t *testing.T) {
+	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
+		h.DataCentre = "z1"
 		for i := range 10 {
 			e := fmt.Sprint("e", i)
-			_, err := ask(h, &wire.Watch{Node: e, Incarnation: e, DataCentre: fmt.Sprint("z", i+1)})
+			_, err := askNews(h, &wire.Watch{Node: e, Incarnation: e, DataCentre: fmt.Sprint("z", i+1)})
 			must.NoError(t, err)
 		}
-		cutOff(t, h, f)
-		_, err := ask(h, &wire.Watch{Node: "e0", Incarnation: "e0", DataCentre: "z1", Entries: 10, Alone: true})
+		cutOffReplica(t, h, f)
+		_, err := askNews(h, &wire.Watch{Node: "e0", Incarnation: "e0", DataCentre: "z1", Entries: 10, Alone: true})
 		must.NoError(t, err)
 		const equal, request = 1000 / 10 * allow.EqualPart, 10
-		must.Between(t, equal, passesHere(h), equal+(allow.FreshPart*1000+request)/passesSpan.Seconds())
+		must.Between(t, equal, admittedRateHere(h), equal+(allow.FreshPart*1000+request)/rateWindow.Seconds())
 	})
 }
 
-// passesSpan is a window of rates.
-const passesSpan = 8 * time.Second
+// rateWindow is the time over which rates are measured.
+const rateWindow = 8 * time.Second
 
-// passesHere is what an account that asks for more than its rate gets from the scheduler
-// here, in units a second.
-func passesHere(h *Hub) float64 {
+// admittedRateHere returns how many units per second the scheduler admits for an account that
+// asks for more than its rate.
+func admittedRateHere(h *Hub) float64 {
 	units := 0.0
-	for end := time.Now().Add(passesSpan); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		r := h.scheduler()
-		r.mu.Lock()
-		if _, ok := r.allow.Take(time.Now(), "a", 10); ok {
+	for end := time.Now().Add(rateWindow); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		s := h.scheduler()
+		s.mu.Lock()
+		if _, ok := s.allow.Take(time.Now(), "a", 10); ok {
 			units += 10
 		}
-		r.mu.Unlock()
+		s.mu.Unlock()
 	}
-	return units / passesSpan.Seconds()
+	return units / rateWindow.Seconds()
 }
 
-// A data centre falls silent: no replica there answers, and nothing that was sent
-// there ends. A replica alone that has ended is no sign of that, as upstreams beside
-// it go on ending runs, nor are upstreams that have nothing to do.
-func TestReach(t *testing.T) {
+// A data centre falls silent: no replica there answers, and no run that was sent there
+// completes. A silent replica alone is no sign of a cut while upstreams beside it go on
+// completing runs, and neither are idle upstreams.
+func TestReachability(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		replica bool // Answers.
-		serves  bool
+		replica bool // The replica there answers.
+		serves  bool // Upstreams there complete runs.
 		want    []string
 	}{
 		{"both", true, true, nil},
@@ -166,22 +165,22 @@
 		{"cut off", false, false, []string{"z2"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var r reach
+			var r reachability
 			now, at := time.Unix(1000, 0), time.Unix(1000, 0)
-			r.ended(now, "z2")
+			r.markServed(now, "z2")
 			for range 40 {
 				now = now.Add(20 * time.Millisecond)
 				if tc.replica {
 					at = now
 				}
 				if tc.serves {
-					r.ended(now, "z2")
+					r.markServed(now, "z2")
 				}
-				r.look(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}, Silence: now.Sub(at)}})
+				r.update(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}, Silence: now.Sub(at)}})
 			}
 			must.SliceEqFunc(t, tc.want, r.list(), func(a, b string) bool { return a == b })
-			r.look(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}}})
-			must.SliceEmpty(t, r.list(), must.Sprint("it is heard again"))
+			r.update(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}}})
+			must.SliceEmpty(t, r.list(), must.Sprint("the replica answers again"))
 		})
 	}
 }
--- a/io/hub/signal.go
+++ b/io/hub/signal.go
@@ -1,10 +1,10 @@
 package hub
 
-// signal wakes those who wait for the next change of what it belongs to, whose lock is
-// held for each call. The zero value is ready.
+// signal wakes goroutines that wait for the next change of some state. The lock of that state
+// must be held during each call. The zero value is ready.
 type signal struct{ next chan struct{} }
 
-// wait returns a channel that is closed by the next raise.
+// wait returns a channel that the next broadcast closes.
 func (s *signal) wait() <-chan struct{} {
 	if s.next == nil {
 		s.next = make(chan struct{})
@@ -12,7 +12,8 @@
 	return s.next
 }
 
-func (s *signal) raise() {
+// broadcast wakes all that wait.
+func (s *signal) broadcast() {
 	if s.next != nil {
 		close(s.next)
 		s.next = nil
--- a/io/hub/speeds.go
+++ b/io/hub/speeds.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// speedsEvery is the time between two lines of what upstreams are believed to do: a
-// run of seconds is placed by it, and a belief that is wrong for long shows in several.
-const speedsEvery = 5 * time.Second
+// speedsLogInterval is the time between two log lines of the estimated speeds of upstreams.
+// Requests that run for seconds are placed by these estimates, so an estimate that stays wrong
+// shows in several lines.
+const speedsLogInterval = 5 * time.Second
 
-// tellSpeeds writes down how fast upstreams are believed to be, in microseconds for a
-// token of an answer. A request that is refused while there is room was held for such
-// as no upstream could end in time; these lines tell whether that was true.
-func (r *reign) tellSpeeds(now time.Time) {
-	if now.Sub(r.spoke) < speedsEvery {
+// logSpeeds logs the estimated speeds of upstreams, in microseconds per token of an answer. A
+// request is refused despite free slots if by these estimates no upstream could complete it in
+// time. The lines show whether that was right.
+func (s *scheduler) logSpeeds(now time.Time) {
+	if now.Sub(s.speedsLoggedAt) < speedsLogInterval {
 		return
 	}
-	r.spoke = now
-	speeds := r.sched.Speeds()
+	s.speedsLoggedAt = now
+	speeds := s.sched.Speeds()
 	for _, pool := range slices.Sorted(maps.Keys(speeds)) {
 		if len(speeds[pool]) == 0 {
 			continue
@@ -27,6 +28,6 @@
 		for name, token := range speeds[pool] {
 			each[name] = token.Microseconds()
 		}
-		r.log.Info("Speeds of upstreams.", "pool", pool, "us-a-token", each, "scheduler", r.id)
+		s.log.Info("Speeds of upstreams.", "pool", pool, "us-a-token", each, "scheduler", s.id)
 	}
 }
--- /dev/null
+++ b/io/hub/upstreams.go
@@ -0,0 +1,262 @@
+package hub
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"strconv"
+	"sync"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"azurelane/core/roster"
+	"azurelane/core/wire"
+)
+
+type (
+	// upstreamTable holds what a scheduler has heard from upstreams since it started. The zero
+	// value is ready.
+	upstreamTable struct {
+		mu     sync.Mutex
+		byID   map[string]*upstreamState
+		silent []string      // Upstreams that were not heard from lately, sorted.
+		lease  time.Duration // Lease that the last announcement gave.
+	}
+
+	// upstreamState is what is known of one upstream.
+	upstreamState struct {
+		*wire.Upstream
+		seq         uint64 // Sequence number of the newest report.
+		born        int64  // Start of the process, in Unix milliseconds.
+		reportedAt  time.Time
+		servedAt    time.Time // When it last completed a run.
+		announceSeq uint64    // Number of the last announcement to the scheduler; it must grow.
+		unreached   bool      // Its data centre seems cut off.
+		limit       *wire.Limit
+	}
+)
+
+// Report takes an upstream's announcement at any replica and forwards it to the leader. If the
+// announcement changes the roster, Report returns once a quorum has stored the change.
+func (h *Hub) Report(ctx context.Context, r *wire.Report) error {
+	if s := h.scheduler(); s != nil && s.scope == scopeDataCentre && h.reportCutOff(s, r) {
+		return nil
+	}
+	_, err := h.Leader.Ask(ctx, func() *wire.Frame { return &wire.Frame{Body: &wire.Frame_Report{Report: r}} })
+	if err != nil {
+		return fmt.Errorf("hub: report: %w", err)
+	}
+	return nil
+}
+
+// handleReport handles an announcement on the leader. It ignores an announcement that a later
+// one of the same upstream has overtaken.
+func (h *Hub) handleReport(ctx context.Context, rep *wire.Report) error {
+	s := h.leaderScheduler()
+	if s == nil {
+		return h.notLeaderFault()
+	}
+	u := rep.GetUpstream()
+	known := h.Replica.Upstream(u.GetId())
+	if roster.Stale(known, u) {
+		return nil
+	}
+	restarted := roster.Reborn(known, u)
+	if restarted {
+		s.limits.drop(u.GetId())
+	}
+	if rep.GetDeregister() {
+		if known == nil || (known.GetState() == wire.Upstream_STATE_GONE && !restarted) {
+			return nil
+		}
+		born := max(u.GetBorn(), known.GetBorn())
+		u = proto.CloneOf(known)
+		u.State, u.Born = wire.Upstream_STATE_GONE, born
+	} else if !s.upstreams.recordReport(time.Now(), u, rep.GetSeq(), known) {
+		return nil
+	}
+	if restarted || (!roster.Same(known, u) && known.GetState() <= u.GetState()) {
+		cmd := &wire.Command{Kind: &wire.Command_Enroll{Enroll: &wire.Enroll{Upstream: u}}}
+		if _, err := h.Replica.Propose(ctx, cmd); err != nil {
+			return err
+		}
+		known = h.Replica.Upstream(u.GetId())
+		h.Log.Info("Upstream changed.", "upstream", u.GetId(), "pool", u.GetPool(), "address", u.GetAddress(),
+			"data-centre", u.GetDataCentre(), "state", u.GetState().String(), "sequence", rep.GetSeq(), "born", u.GetBorn())
+	}
+	if known != nil {
+		h.announce(s, known, leaseIntervals)
+	}
+	return nil
+}
+
+// reportCutOff handles an announcement at a scheduler that is cut off with its data centre, and
+// reports whether it can be acknowledged here. An announcement that changes the roster can't be,
+// as the change can't be stored without a quorum. An upstream that leaves gets no more requests
+// all the same.
+func (h *Hub) reportCutOff(s *scheduler, rep *wire.Report) bool {
+	u := rep.GetUpstream()
+	known := h.Replica.Upstream(u.GetId())
+	if known == nil || known.GetDataCentre() != h.DataCentre || roster.Stale(known, u) || rep.GetDeregister() {
+		return false
+	}
+	if !s.upstreams.recordReport(time.Now(), u, rep.GetSeq(), known) {
+		return false
+	}
+	if roster.Same(known, u) && !roster.Reborn(known, u) {
+		h.announce(s, known, leaseIntervals)
+		return true
+	}
+	if u.GetState() != wire.Upstream_STATE_SERVING {
+		gone := proto.CloneOf(known)
+		gone.State = u.GetState()
+		h.announce(s, gone, leaseIntervals)
+	}
+	return false
+}
+
+// announce hands an upstream to the scheduler. The lease is the given number of announce
+// intervals and half an interval more.
+func (h *Hub) announce(s *scheduler, u *wire.Upstream, intervals int) {
+	lease := time.Duration(intervals)*h.AnnounceInterval + h.AnnounceInterval/2
+	if a := s.upstreams.announce(u, s.limitFor(u.GetId()), lease); a != nil {
+		s.sched.Announce(a)
+	}
+}
+
+// getOrCreate returns the state of an upstream. The lock is held.
+func (t *upstreamTable) getOrCreate(u *wire.Upstream) *upstreamState {
+	if t.byID == nil {
+		t.byID = map[string]*upstreamState{}
+	}
+	st := t.byID[u.GetId()]
+	if st == nil {
+		st = &upstreamState{}
+		t.byID[u.GetId()] = st
+	}
+	return st
+}
+
+// recordReport records a report and returns whether it is the newest of its upstream.
+func (t *upstreamTable) recordReport(now time.Time, u *wire.Upstream, seq uint64, known *wire.Upstream) bool {
+	if known.GetState() == wire.Upstream_STATE_GONE && !roster.Reborn(known, u) {
+		return false
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	st := t.getOrCreate(u)
+	if u.GetBorn() > st.born { // A restarted upstream starts its sequence numbers anew.
+		st.seq, st.born = 0, u.GetBorn()
+	}
+	if seq <= st.seq && st.seq > 0 {
+		return false
+	}
+	st.seq, st.reportedAt = seq, now
+	return true
+}
+
+// announce records the roster entry of an upstream and returns the announcement for the
+// scheduler.
+func (t *upstreamTable) announce(u *wire.Upstream, l *wire.Limit, lease time.Duration) *wire.Announce {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	st := t.getOrCreate(u)
+	st.Upstream, st.limit = u, l
+	if st.reportedAt.IsZero() {
+		st.reportedAt = time.Now()
+	}
+	t.lease = lease
+	return st.announcement(lease)
+}
+
+// announcement returns the next announcement of the upstream for the scheduler.
+func (st *upstreamState) announcement(lease time.Duration) *wire.Announce {
+	st.announceSeq++
+	return &wire.Announce{
+		Upstream: st.GetId(), Address: st.GetAddress(), Pools: []string{st.GetPool()}, MaxRunning: st.GetSlots(),
+		Leaving: st.GetState() != wire.Upstream_STATE_SERVING, LeaseUs: lease.Microseconds(), Seq: st.announceSeq, CanResume: true,
+		Unreached: st.unreached, Incarnation: strconv.FormatInt(st.GetBorn(), 10), Limit: st.limit,
+	}
+}
+
+// setLimit sets the rate limit of an upstream and returns the announcement for the scheduler,
+// with the rest of the lease. It returns nil if the upstream is unknown.
+func (t *upstreamTable) setLimit(now time.Time, id string, l *wire.Limit) *wire.Announce {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	st := t.byID[id]
+	if st == nil || st.Upstream == nil {
+		return nil
+	}
+	st.limit = l
+	return st.announcement(t.remainingLease(now, st))
+}
+
+// remainingLease returns the rest of an upstream's lease. The lock is held.
+func (t *upstreamTable) remainingLease(now time.Time, st *upstreamState) time.Duration {
+	last := st.reportedAt
+	if st.servedAt.After(last) {
+		last = st.servedAt
+	}
+	return t.lease - now.Sub(last)
+}
+
+// markServed records that an upstream completed a run and returns its data centre. If the
+// upstream has not announced itself for half a lease, markServed also returns an announcement
+// that extends the lease: an upstream that is cut off from control may still serve.
+func (t *upstreamTable) markServed(now time.Time, id string) (string, *wire.Announce) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	st := t.byID[id]
+	if st == nil || st.Upstream == nil {
+		return "", nil
+	}
+	st.servedAt = now
+	if now.Sub(st.reportedAt) < t.lease/2 {
+		return st.GetDataCentre(), nil
+	}
+	return st.GetDataCentre(), st.announcement(t.lease / 2)
+}
+
+// setUnreached takes the data centres that seem cut off. It returns an announcement, with the
+// rest of the lease, for each upstream whose reachability has changed.
+func (t *upstreamTable) setUnreached(now time.Time, dataCentres []string) []*wire.Announce {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var list []*wire.Announce
+	for _, st := range t.byID {
+		if st.Upstream == nil {
+			continue
+		}
+		unreached := slices.Contains(dataCentres, st.GetDataCentre())
+		if left := t.remainingLease(now, st); unreached != st.unreached && left > 0 {
+			st.unreached = unreached
+			list = append(list, st.announcement(left))
+		}
+	}
+	return list
+}
+
+// findSilent lists the upstreams that have neither announced themselves nor completed a run
+// within timeout. It drops upstreams that have been gone for goneRetention.
+func (t *upstreamTable) findSilent(now time.Time, timeout time.Duration) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var list []string
+	for id, st := range t.byID {
+		if st.GetState() == wire.Upstream_STATE_GONE && now.Sub(st.reportedAt) > goneRetention {
+			delete(t.byID, id)
+			continue
+		}
+		if now.Sub(st.reportedAt) > timeout && now.Sub(st.servedAt) > timeout && st.GetState() != wire.Upstream_STATE_GONE {
+			list = append(list, id)
+		}
+	}
+	slices.Sort(list)
+	return list
+}
+
+// goneRetention is how long the sequence number of an upstream that is gone is kept. Its last
+// announcements may arrive some seconds late and must not count as new.
+const goneRetention = time.Minute
--- a/io/hub/watch.go
+++ b/io/hub/watch.go
@@ -13,197 +13,202 @@
 )
 
 const (
-	// gather is how long news waits for more of its kind, so that a storm of
-	// changes does not send each entry every one of them.
-	gather = 15 * time.Millisecond
-	// entryGone is how long an entry is silent before its slots are freed. An
-	// entry that watches asks again at least every wait of its own.
-	entryGone = 6 * time.Second
-	// countFor is how long an entry that fell silent still counts as one that
-	// shares the limits of all: it may go on behind a cut.
-	countFor = 30 * time.Second
+	// newsBatchDelay is how long news waits for further changes, so that a burst of changes does
+	// not send every entry a separate answer for each.
+	newsBatchDelay = 15 * time.Millisecond
+	// entryTimeout is the silence after which an entry's slots are freed. A live entry polls
+	// again at the latest when the wait of its poll ends.
+	entryTimeout = 6 * time.Second
+	// silentEntryRetention is how long a silent entry still counts as one that shares the
+	// limits: it may be cut off and still serve.
+	silentEntryRetention = 30 * time.Second
 )
 
 type (
-	// watchers are the entries that ask for news. The zero value is ready.
+	// watchers tracks the entries that poll for news. The zero value is ready.
 	watchers struct {
 		mu     sync.Mutex
 		byNode map[string]*watcher
 	}
 
+	// watcher is one polling entry.
 	watcher struct {
 		incarnation string
 		dataCentre  string
-		seen        time.Time
-		forgotten   bool
+		lastSeen    time.Time
+		expired     bool // Its slots were freed.
 	}
 
-	// pack keeps the newest document in the form in which it is sent.
-	pack struct {
+	// compressedDocument caches the newest document, compressed as it is sent to entries.
+	compressedDocument struct {
 		mu      sync.Mutex
 		version uint64
 		data    []byte
 	}
 )
 
-// watch answers when there is something that the asker doesn't know.
-func (h *Hub) watch(ctx context.Context, w *wire.Watch) (*wire.News, error) {
+// handleWatch answers a long poll: as soon as there is news that the entry does not have, or
+// else when its wait ends.
+func (h *Hub) handleWatch(ctx context.Context, w *wire.Watch) (*wire.News, error) {
 	end := time.NewTimer(time.Duration(w.GetWaitUs()) * time.Microsecond)
 	defer end.Stop()
-	for stirred := false; ; stirred = true {
+	for woken := false; ; woken = true {
 		changed := h.Replica.Changed()
-		r := h.scheduler()
-		if r == nil || !h.serves(r, w) {
-			return nil, h.moved()
+		s := h.scheduler()
+		if s == nil || !h.serves(s, w) {
+			return nil, h.notLeaderFault()
 		}
-		if old := h.watchers.note(w, time.Now()); old != "" {
-			r.forget(old)
+		if old := h.watchers.markAlive(w, time.Now()); old != "" {
+			s.forgetEntry(old)
 		}
-		r.join(w, h.here(r))
-		r.bans.take(h.Log, w.GetCrashes())
-		h.limit(r, w.GetLimits())
-		lost, banned, limited := r.reach.changed(), r.bans.changed(), r.limits.changed()
-		n, fresh, err := h.news(r, w)
-		if err != nil || fresh || stirred {
+		s.registerEntry(w, h.entriesHere(s))
+		s.bans.merge(h.Log, w.GetCrashes())
+		h.applyLimits(s, w.GetLimits())
+		reachChanged, bansChanged, limitsChanged := s.reachability.changed(), s.bans.changed(), s.limits.changed()
+		n, fresh, err := h.news(s, w)
+		if err != nil || fresh || woken {
 			return n, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-end.C:
-			n, _, err = h.news(r, w) // What was found when it asked is as old as the wait.
+			n, _, err = h.news(s, w) // Read anew, as the news from before the wait is outdated.
 			return n, err
 		case <-changed:
-		case <-lost:
-		case <-banned:
-		case <-limited:
+		case <-reachChanged:
+		case <-bansChanged:
+		case <-limitsChanged:
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(gather):
+		case <-time.After(newsBatchDelay):
 		}
 	}
 }
 
-// here is how many entries a scheduler may serve. One of a data centre may have led
-// before, and has heard those of all others then.
-func (h *Hub) here(r *reign) int64 {
-	if r.scope == centre {
-		return h.watchers.countIn(time.Now(), h.Centre)
+// entriesHere returns how many entries a scheduler may serve. A scheduler of one data centre
+// counts only the entries there: if this replica led before the cut, it has heard those
+// elsewhere too.
+func (h *Hub) entriesHere(s *scheduler) int64 {
+	if s.scope == scopeDataCentre {
+		return h.watchers.countIn(time.Now(), h.DataCentre)
 	}
 	return h.watchers.count(time.Now())
 }
 
-// news is what there is to tell, and whether any of it is new.
-func (h *Hub) news(r *reign, w *wire.Watch) (*wire.News, bool, error) {
-	n := &wire.News{Leader: r.id, Entries: r.entries(h.here(r))}
+// news returns what an entry needs to know, and whether any of it is new to the entry.
+func (h *Hub) news(s *scheduler, w *wire.Watch) (*wire.News, bool, error) {
+	n := &wire.News{Leader: s.id, Entries: s.entryCount(h.entriesHere(s))}
 	_, all, _ := h.Replica.Group()
 	for _, p := range all {
 		n.Replicas = append(n.Replicas, p.GetAddress())
 	}
-	r.beats.mu.Lock()
-	n.Silent = r.beats.quiet
-	r.beats.mu.Unlock()
-	n.Unreached = r.reach.list()
+	s.upstreams.mu.Lock()
+	n.Silent = s.upstreams.silent
+	s.upstreams.mu.Unlock()
+	n.Unreached = s.reachability.list()
 	known := w.GetBans()
-	if w.GetLeader() != r.id {
-		known = 0 // Revisions count at each scheduler anew.
+	if w.GetLeader() != s.id {
+		known = 0 // Revisions of another scheduler can't be compared.
 	}
-	n.Bans = r.bans.since(known)
-	n.Limits = r.limits.list(time.Now(), w.GetNode(), func() ([]string, bool) { return h.sharers(r) })
+	n.Bans = s.bans.since(known)
+	n.Limits = s.limits.listFor(time.Now(), w.GetNode(), func() ([]string, bool) { return h.limitSharers(s) })
 	var doc []byte
 	n.Version, doc = h.Replica.Publication()
 	if n.GetVersion() > w.GetVersion() {
-		data, err := h.pack.compress(n.GetVersion(), doc)
+		data, err := h.compressed.compress(n.GetVersion(), doc)
 		if err != nil {
 			return nil, false, err
 		}
 		n.Document = data
 	}
 	n.Roster, n.Whole, n.Revision = h.Replica.Roster(w.GetRevision())
-	fresh := n.GetDocument() != nil || n.GetBans() != nil || n.GetRevision() != w.GetRevision() || w.GetLeader() != r.id
+	fresh := n.GetDocument() != nil || n.GetBans() != nil || n.GetRevision() != w.GetRevision() || w.GetLeader() != s.id
 	return n, fresh, nil
 }
 
-// sharers are the entries that share the limits of upstreams, and whether all are known. A
-// scheduler of a data centre that is cut off does not wait for those elsewhere: else its
-// upstreams would get nothing where none of its entries has a share.
-func (h *Hub) sharers(r *reign) (nodes []string, all bool) {
-	nodes = h.watchers.nodes(r.dataCentre(h.Centre))
+// limitSharers returns the entries that share the limits of upstreams, and whether all of them
+// are known. A scheduler of a data centre that is cut off does not wait for entries elsewhere:
+// otherwise its upstreams would get no requests when none of its entries holds a share.
+func (h *Hub) limitSharers(s *scheduler) (nodes []string, all bool) {
+	nodes = h.watchers.nodes(s.dataCentre(h.DataCentre))
 	here := int64(len(nodes))
-	return nodes, r.scope == centre || here >= r.entries(here)
+	return nodes, s.scope == scopeDataCentre || here >= s.entryCount(here)
 }
 
-// lookAround looks whether data centres are reached. While one is not, its upstreams
-// get no more than a request now and then that tries them.
-func (h *Hub) lookAround(r *reign) {
-	if r.scope != deployment {
+// checkReachability updates which data centres are reachable. Upstreams of an unreachable data
+// centre get only an occasional request that probes them.
+func (h *Hub) checkReachability(s *scheduler) {
+	if s.scope != scopeDeployment {
 		return
 	}
 	now := time.Now()
 	_, _, peers := h.Replica.Group()
-	if !r.reach.look(now, peers) {
+	if !s.reachability.update(now, peers) {
 		return
 	}
-	list := r.reach.list()
-	h.Log.Info("Data centres that seem cut off changed.", "data-centres", list)
-	for _, a := range r.beats.lose(now, list) {
-		r.sched.Announce(a)
+	list := s.reachability.list()
+	h.Log.Info("Unreachable data centres changed.", "data-centres", list)
+	for _, a := range s.upstreams.setUnreached(now, list) {
+		s.sched.Announce(a)
 	}
-	r.miss(now, h.watchers.silent(now, list))
+	s.setSilentEntries(now, h.watchers.silent(now, list))
 }
 
-// sweep looks at what has gone silent.
-func (h *Hub) sweep(r *reign) {
+// sweep checks for upstreams and entries that have fallen silent, drops the limits of upstreams
+// that are gone, and logs speeds and shares of rates.
+func (h *Hub) sweep(s *scheduler) {
 	now := time.Now()
-	quiet := r.beats.silent(now, leaseBeats*h.Beat+h.Beat/2)
-	r.beats.mu.Lock()
-	changed := !slices.Equal(quiet, r.beats.quiet)
-	r.beats.quiet = quiet
-	r.beats.mu.Unlock()
+	silent := s.upstreams.findSilent(now, leaseIntervals*h.AnnounceInterval+h.AnnounceInterval/2)
+	s.upstreams.mu.Lock()
+	changed := !slices.Equal(silent, s.upstreams.silent)
+	s.upstreams.silent = silent
+	s.upstreams.mu.Unlock()
 	if changed {
-		h.Log.Info("Silent upstreams changed.", "upstreams", quiet)
+		h.Log.Info("Silent upstreams changed.", "upstreams", silent)
 	}
-	r.miss(now, h.watchers.silent(now, r.reach.list()))
-	r.await(now, h.watchers.count(now))
-	r.tellSpeeds(now)
-	r.tellParts(now)
-	r.limits.keep(func(id string) bool {
+	s.setSilentEntries(now, h.watchers.silent(now, s.reachability.list()))
+	s.reserveForUnseen(now, h.watchers.count(now))
+	s.logSpeeds(now)
+	s.logRateShares(now)
+	s.limits.retain(func(id string) bool {
 		u := h.Replica.Upstream(id)
 		return u != nil && u.GetState() != wire.Upstream_STATE_GONE
 	})
-	for _, inc := range h.watchers.lost(now) {
-		h.Log.Info("Entry lost.", "incarnation", inc)
-		r.sched.Forget(inc)
+	for _, inc := range h.watchers.expire(now) {
+		h.Log.Info("Entry timed out; its slots are freed.", "incarnation", inc)
+		s.sched.Forget(inc)
 	}
 }
 
-// note marks an entry as alive. It returns its former incarnation when the entry
-// has restarted: what that one held is free.
-func (s *watchers) note(w *wire.Watch, now time.Time) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.byNode == nil {
-		s.byNode = map[string]*watcher{}
+// markAlive records a poll of an entry. If the entry has restarted, markAlive returns its former
+// incarnation, whose slots can be freed.
+func (ws *watchers) markAlive(w *wire.Watch, now time.Time) string {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
+	if ws.byNode == nil {
+		ws.byNode = map[string]*watcher{}
 	}
-	e := s.byNode[w.GetNode()]
+	e := ws.byNode[w.GetNode()]
 	old := ""
 	if e != nil && e.incarnation != w.GetIncarnation() {
 		old = e.incarnation
 	}
-	s.byNode[w.GetNode()] = &watcher{incarnation: w.GetIncarnation(), dataCentre: w.GetDataCentre(), seen: now}
+	ws.byNode[w.GetNode()] = &watcher{incarnation: w.GetIncarnation(), dataCentre: w.GetDataCentre(), lastSeen: now}
 	return old
 }
 
-// count is the number of entries that share the limits of all.
-func (s *watchers) count(now time.Time) int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// count returns how many entries share the limits. It drops those that were silent for longer
+// than silentEntryRetention.
+func (ws *watchers) count(now time.Time) int64 {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	n := int64(0)
-	for node, e := range s.byNode {
-		if now.Sub(e.seen) > countFor {
-			delete(s.byNode, node)
+	for node, e := range ws.byNode {
+		if now.Sub(e.lastSeen) > silentEntryRetention {
+			delete(ws.byNode, node)
 			continue
 		}
 		n++
@@ -211,12 +216,13 @@
 	return n
 }
 
-// nodes lists the entries that share the limits of all, of one data centre if it is named.
-func (s *watchers) nodes(dataCentre string) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// nodes lists the entries that share the limits, only those of one data centre unless dataCentre
+// is empty.
+func (ws *watchers) nodes(dataCentre string) []string {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	var list []string
-	for node, e := range s.byNode {
+	for node, e := range ws.byNode {
 		if dataCentre == "" || e.dataCentre == dataCentre {
 			list = append(list, node)
 		}
@@ -224,28 +230,28 @@
 	return list
 }
 
-// countIn is the number of those in one data centre.
-func (s *watchers) countIn(now time.Time, dataCentre string) int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// countIn returns how many entries of one data centre share the limits.
+func (ws *watchers) countIn(now time.Time, dataCentre string) int64 {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	n := int64(0)
-	for _, e := range s.byNode {
-		if e.dataCentre == dataCentre && now.Sub(e.seen) <= countFor {
+	for _, e := range ws.byNode {
+		if e.dataCentre == dataCentre && now.Sub(e.lastSeen) <= silentEntryRetention {
 			n++
 		}
 	}
 	return n
 }
 
-// silent lists the incarnations that were not heard for a while, or whose data centre
-// seems cut off, and may go on behind a cut.
-func (s *watchers) silent(now time.Time, lost []string) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// silent lists the incarnations that may be cut off and still serve: those that were silent for
+// entrySilentAfter, and those in one of the unreached data centres.
+func (ws *watchers) silent(now time.Time, unreached []string) []string {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	var list []string
-	for _, e := range s.byNode {
-		d := now.Sub(e.seen)
-		if d <= countFor && (d > absentAfter || slices.Contains(lost, e.dataCentre)) {
+	for _, e := range ws.byNode {
+		d := now.Sub(e.lastSeen)
+		if d <= silentEntryRetention && (d > entrySilentAfter || slices.Contains(unreached, e.dataCentre)) {
 			list = append(list, e.incarnation)
 		}
 	}
@@ -253,27 +259,28 @@
 	return list
 }
 
-// lost lists the incarnations that have just been silent for too long.
-func (s *watchers) lost(now time.Time) []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// expire lists the incarnations that have reached entryTimeout since the last call.
+func (ws *watchers) expire(now time.Time) []string {
+	ws.mu.Lock()
+	defer ws.mu.Unlock()
 	var list []string
-	for _, e := range s.byNode {
-		if !e.forgotten && now.Sub(e.seen) > entryGone {
-			e.forgotten = true
+	for _, e := range ws.byNode {
+		if !e.expired && now.Sub(e.lastSeen) > entryTimeout {
+			e.expired = true
 			list = append(list, e.incarnation)
 		}
 	}
 	return list
 }
 
-// compress makes a document small once for all entries: with hundreds of routes
-// it is some hundred KB, and crosses to dozens of entries.
-func (p *pack) compress(version uint64, doc []byte) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.version == version {
-		return p.data, nil
+// compress returns a document in compressed form. It compresses each version once for all
+// entries: with hundreds of routes a document has some hundred KB, and it is sent to dozens of
+// entries.
+func (c *compressedDocument) compress(version uint64, doc []byte) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.version == version {
+		return c.data, nil
 	}
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.BestSpeed)
@@ -286,6 +293,6 @@
 	if err != nil {
 		return nil, fmt.Errorf("hub: compress document: %w", err)
 	}
-	p.version, p.data = version, buf.Bytes()
-	return p.data, nil
+	c.version, c.data = version, buf.Bytes()
+	return c.data, nil
 }
--- a/io/hubd/hubd.go
+++ b/io/hubd/hubd.go
@@ -1,4 +1,4 @@
-// Package hubd is the process of a control replica whose group forms itself.
+// Package hubd runs the process of a control replica whose group forms and repairs itself.
 package hubd
 
 import (
@@ -30,55 +30,56 @@
 )
 
 const (
-	memoryPart = 0.7             // See gated: the part of the memory at which the collector works harder.
-	leaveLimit = 3 * time.Second // For the next leader to take over when the process stops.
-	// awayPart is the part of the catch-up time after which a silent voter is
-	// replaced: the rest is for the change itself.
-	awayPart = 0.6
-	// election is shorter than where an operator puts the group together: its
-	// replicas are milliseconds apart, and while none leads, entries place
-	// requests by themselves.
-	election  = 400 * time.Millisecond
-	drainOpen = 200 * time.Millisecond // For calls, before and after nothing new is accepted.
-	forget    = time.Minute            // After which a silent learner leaves the group.
-	// refusalLines is how many lines a second refused tickets get. A line costs some
-	// 20 us, ten times what it takes to refuse a ticket, so that this is at most
-	// 1 % of a core in a burst; entries have a line for each refusal.
-	refusalLines = 400
+	// memoryLimitShare is the fraction of the allowed memory at which the garbage collector
+	// starts to work harder, as in gated.
+	memoryLimitShare = 0.7
+	leaveTimeout     = 3 * time.Second // For handing over leadership when the process stops.
+	// voterAwayShare is the fraction of the catch-up time after which a silent voter is
+	// replaced. The rest is left for the membership change itself.
+	voterAwayShare = 0.6
+	// electionTimeout is shorter than in a group that an operator sets up: these replicas are
+	// milliseconds apart, and entries place requests by themselves while there is no leader.
+	electionTimeout    = 400 * time.Millisecond
+	drainOpenTime      = 200 * time.Millisecond // For open connections, before and after the listener closes.
+	learnerForgetAfter = time.Minute            // Silence after which a learner is removed from the group.
+	// maxRefusalLogLines is how many lines per second are logged for refused tickets. A line
+	// costs some 20 us, ten times as much as refusing a ticket, so that this is at most 1 % of a
+	// core in a burst. Entries log every refusal.
+	maxRefusalLogLines = 400
 )
 
-// Hubd is one such process. Open makes it.
+// Hubd is the process of one control replica. Open creates it.
 type Hubd struct {
-	set  *local.Local
-	log  logr.Logger
-	ctrl *ctrl.Ctrl
-	sup  *suture.Supervisor
-	// front takes the calls of upstreams and operators. It stops before the parts that
-	// it needs to answer them.
+	settings *local.Local
+	log      logr.Logger
+	ctrl     *ctrl.Ctrl
+	sup      *suture.Supervisor
+	// front serves the calls of upstreams and operators. It stops before the services that it
+	// needs to answer them.
 	front *httpd.Httpd
 }
 
-// Open reads the data folder and binds the addresses. Calls makes the handler
-// of what upstreams and operators call.
-func Open(set *local.Local, calls func(*hub.Hub) http.Handler, parse func(doc []byte) (*conf.Config, error), log logr.Logger) (*Hubd, error) {
-	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(set.MemoryMB<<20)))
+// Open reads the data folder and binds the addresses. Calls returns the handler for the calls of
+// upstreams and operators, and parse reads published documents.
+func Open(settings *local.Local, calls func(*hub.Hub) http.Handler, parse func(doc []byte) (*conf.Config, error), log logr.Logger) (*Hubd, error) {
+	if settings.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryMB<<20)))
 	}
-	d := &Hubd{set: set, log: log.WithName("hub")}
-	peers, err := net.Listen("tcp", set.ListenPeers().String())
+	d := &Hubd{settings: settings, log: log.WithName("hub")}
+	peers, err := net.Listen("tcp", settings.ListenPeers().String())
 	if err != nil {
 		return nil, fmt.Errorf("hubd: listen: %w", err)
 	}
-	front, err := net.Listen("tcp", set.Calls)
+	front, err := net.Listen("tcp", settings.Calls)
 	if err != nil {
 		_ = peers.Close()
 		return nil, fmt.Errorf("hubd: listen: %w", err)
 	}
 	d.ctrl = &ctrl.Ctrl{
-		Name: set.Node, Address: set.Peers, Control: set.SeedPeers(), Centre: set.Centre,
-		Bootstrap: set.Bootstrap && set.Founds(), Election: election, Leaseless: true, Log: log.WithName("ctrl"),
+		Name: settings.Node, Address: settings.Peers, Control: settings.SeedPeers(), Centre: settings.Centre,
+		Bootstrap: settings.Bootstrap && settings.Founds(), Election: electionTimeout, Leaseless: true, Log: log.WithName("ctrl"),
 	}
-	if err := d.ctrl.Open(set.DataFolder); err != nil {
+	if err := d.ctrl.Open(settings.DataFolder); err != nil {
 		_ = peers.Close()
 		_ = front.Close()
 		return nil, fmt.Errorf("hubd: %w", err)
@@ -87,46 +88,47 @@
 	return d, nil
 }
 
+// build connects the services of the process, without starting them.
 func (d *Hubd) build(peers, front net.Listener, calls func(*hub.Hub) http.Handler, parse func(doc []byte) (*conf.Config, error)) {
-	set, metrics := d.set, stats.New()
+	settings, metrics := d.settings, stats.New()
 	metrics.Runtime()
-	m := &mesh.Mesh{Listen: peers, Self: set.Peers, Log: d.log.WithName("mesh")}
+	m := &mesh.Mesh{Listen: peers, Self: settings.Peers, Log: d.log.WithName("mesh")}
 	toLeader := &leader.Leader{Replicas: d.replicas(), Caller: m}
 	group := coreform.Form{
-		Losses: set.Losses, Centres: len(set.Centres), Away: time.Duration(awayPart * float64(set.CatchUp)), Forget: forget,
+		Losses: settings.Losses, Centres: len(settings.Centres), Away: time.Duration(voterAwayShare * float64(settings.CatchUp)), Forget: learnerForgetAfter,
 	}
 	h := &hub.Hub{
-		Replica: d.ctrl, Leader: toLeader, Centre: set.Centre, Parse: parse, Voters: group.Voters(), Beat: set.Announce, Over: set.Overage,
-		Slack: set.QuotaSlack, Stats: metrics, Log: d.log, Lines: logs.Budget{Most: refusalLines},
+		Replica: d.ctrl, Leader: toLeader, DataCentre: settings.Centre, Parse: parse, Voters: group.Voters(),
+		AnnounceInterval: settings.Announce, Overage: settings.Overage, QuotaSlack: settings.QuotaSlack, Stats: metrics, Log: d.log, RefusalLog: logs.Budget{Most: maxRefusalLogLines},
 	}
-	h.Gauges()
-	metrics.Pull("log-term", func() int64 { return int64(d.ctrl.Term()) })       //nolint:gosec // Terms are few.
-	metrics.Pull("log-applied", func() int64 { return int64(d.ctrl.Applied()) }) //nolint:gosec // So are entries.
-	m.Handle, m.Later = h.Handle, h.Later
+	h.RegisterGauges()
+	metrics.Pull("log-term", func() int64 { return int64(d.ctrl.Term()) })       //nolint:gosec // Far below the limit.
+	metrics.Pull("log-applied", func() int64 { return int64(d.ctrl.Applied()) }) //nolint:gosec // Far below the limit.
+	m.Handle, m.Later = h.Handle, h.HandleAsync
 	d.ctrl.Sender = m
 	ops := &admin.Admin{Stats: metrics, Ready: d.ctrl.Ready}
-	d.sup = suture.New("hub", suture.Spec{EventHook: func(ev suture.Event) { d.log.Info("Part stopped.", "event", ev.String()) }})
-	d.front = &httpd.Httpd{Listen: front, Handler: calls(h), DrainOpen: drainOpen}
+	d.sup = suture.New("hub", suture.Spec{EventHook: func(ev suture.Event) { d.log.Info("Supervisor event.", "event", ev.String()) }})
+	d.front = &httpd.Httpd{Listen: front, Handler: calls(h), DrainOpen: drainOpenTime}
 	for _, s := range []suture.Service{
 		m, d.ctrl, h,
-		&form.Form{Form: group, Self: set.Peers, Centre: set.Centre, Replica: d.ctrl, Leader: toLeader, Log: d.log.WithName("form")},
+		&form.Form{Form: group, Self: settings.Peers, Centre: settings.Centre, Replica: d.ctrl, Leader: toLeader, Log: d.log.WithName("form")},
 	} {
 		d.sup.Add(s)
 	}
-	if set.Metrics == "" {
+	if settings.Metrics == "" {
 		return
 	}
-	if ln, err := net.Listen("tcp", set.Metrics); err == nil {
+	if ln, err := net.Listen("tcp", settings.Metrics); err == nil {
 		d.sup.Add(&httpd.Httpd{Listen: ln, Handler: ops.Handler()})
 	} else {
 		d.log.Error(err, "Metrics not served.")
 	}
 }
 
-// replicas are those to ask for the leader, this one first.
+// replicas returns the replicas to ask for the leader, this one first.
 func (d *Hubd) replicas() []netip.AddrPort {
-	list := []netip.AddrPort{d.set.Peers}
-	for _, s := range d.set.SeedPeers() {
+	list := []netip.AddrPort{d.settings.Peers}
+	for _, s := range d.settings.SeedPeers() {
 		if !slices.Contains(list, s) {
 			list = append(list, s)
 		}
@@ -134,19 +136,19 @@
 	return list
 }
 
-// Serve runs until ctx ends; a leader then hands over first. When the replica
-// fails, all parts end and the process with them.
+// Serve runs until ctx ends. A leader hands over its leadership first. If the replica fails, all
+// services stop, and Serve returns an error that ends the process.
 func (d *Hubd) Serve(ctx context.Context) error {
-	parts, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	servicesCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	d.log.Info("Control serves.", "node", d.set.Node, "peers", d.set.Peers.String())
-	done := d.sup.ServeBackground(parts)
-	fctx, fstop := context.WithCancel(parts)
-	defer fstop()
-	served := make(chan error, 1)
-	go func() { served <- d.front.Serve(fctx) }()
+	d.log.Info("Control serves.", "node", d.settings.Node, "peers", d.settings.Peers.String())
+	done := d.sup.ServeBackground(servicesCtx)
+	frontCtx, stopFront := context.WithCancel(servicesCtx)
+	defer stopFront()
+	frontDone := make(chan error, 1)
+	go func() { frontDone <- d.front.Serve(frontCtx) }()
 	select {
-	case err := <-served:
+	case err := <-frontDone:
 		return fmt.Errorf("hubd: %w: %w", suture.ErrTerminateSupervisorTree, err)
 	case err := <-done:
 		if !errors.Is(err, suture.ErrTerminateSupervisorTree) {
@@ -155,13 +157,13 @@
 		return fmt.Errorf("hubd: %w", err)
 	case <-ctx.Done():
 	}
-	lctx, lcancel := context.WithTimeout(parts, leaveLimit)
-	defer lcancel()
-	d.ctrl.Leave(lctx)
-	fstop()
-	<-served //nolint:errcheck // It ended because it was told to.
+	leaveCtx, cancelLeave := context.WithTimeout(servicesCtx, leaveTimeout)
+	defer cancelLeave()
+	d.ctrl.Leave(leaveCtx)
+	stopFront()
+	<-frontDone //nolint:errcheck // It was told to end.
 	cancel()
-	<-done //nolint:errcheck // The parts ended because they were told to.
+	<-done //nolint:errcheck // The services were told to end.
 	d.log.Info("Control stopped.")
 	return nil
 }
