--- a/io/hub/bans.go
+++ b/io/hub/bans.go
@@ -12,8 +12,8 @@
 	"azurelane/core/wire"
 )
 
-// bans holds what a scheduler knows of requests that crash upstreams. Entries report what they
-// know to a new scheduler, including crashes that led to no ban. Bans are also recorded in the
+// bans holds the crash reports and bans of requests that crash upstreams. Entries report theirs
+// to a new scheduler, including crashes that led to no ban. Bans are also recorded in the
 // replicated log, as all processes may stop at once. The zero value is ready.
 type bans struct {
 	mu             sync.Mutex
@@ -27,7 +27,7 @@
 // recordRetryDelay is the pause before another attempt to record bans.
 const recordRetryDelay = 500 * time.Millisecond
 
-// merge adds what an entry knows.
+// merge adds the crashes, bans and cleared requests that an entry reports.
 func (b *bans) merge(log logr.Logger, c *wire.Crashes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,7 +67,7 @@
 	delete(b.recorded, d)
 }
 
-// load adds the recorded bans, except for those that have been lifted here.
+// load adds the recorded bans, except for bans that have been lifted here.
 func (b *bans) load(list []*wire.Ban, revision uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,9 +84,9 @@
 	b.notify(before)
 }
 
-// unrecorded returns what the log lacks, or nil. Each scheduler records a ban once, and once
-// more when it was tried: bans that a full record has evicted would otherwise be recorded over
-// and over.
+// unrecorded returns the changes that the log lacks, or nil. Each scheduler records a ban once,
+// and once more when it was tried: bans that a full record has evicted would otherwise be
+// recorded over and over.
 func (b *bans) unrecorded(list []*wire.Ban) *wire.RecordBans {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/io/hub/hub.go
+++ b/io/hub/hub.go
@@ -1,6 +1,6 @@
 // Package hub implements the services of a control replica on top of the replicated log: it
-// answers long polls of entries with what has changed, takes the announcements of upstreams and,
-// on the leader, schedules the pools.
+// answers long polls of entries with changes, takes the announcements of upstreams and, on the
+// leader, schedules the pools.
 package hub
 
 import (
--- a/io/hub/hub_test.go
+++ b/io/hub/hub_test.go
@@ -188,7 +188,7 @@
 }
 
 // An upstream announces that it leaves. Once that is answered, the scheduler grants it no more
-// requests, and every entry that polls is told.
+// requests, and every entry learns of it with its next poll.
 func TestLeavingTakesEffectBeforeReply(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
 		must.NoError(t, h.Report(t.Context(), newReport("s", 1, wire.Upstream_STATE_SERVING)))
@@ -353,9 +353,9 @@
 	})
 }
 
-// An upstream crashes and restarts under its id, and starts its sequence numbers anew. It is
-// used again at once with all of its slots. Whatever its former process sent, in any order,
-// changes nothing any more: neither its leaving, nor its deregistration, nor a higher sequence
+// An upstream crashes and restarts under its id, and its sequence numbers start again at 1. It
+// is used again at once with all of its slots. Late messages of its former process have no
+// effect in any order: neither its leaving, nor its deregistration, nor a higher sequence
 // number.
 func TestUpstreamRestartsUnderSameID(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
--- a/io/hub/limits.go
+++ b/io/hub/limits.go
@@ -29,11 +29,11 @@
 	}
 )
 
-// merge records what entries have seen and returns the upstreams whose limits changed. Reports
-// may arrive out of order, as a slow entry may delay the head of a stream, and a bad link its
-// report. So an answer without a limit ends the limit only if its request was sent after the
-// limit was last reported, and an answer to a request older than the one that named the limit
-// changes nothing.
+// merge records the limits that entries report and returns the upstreams whose limits changed.
+// Reports may arrive out of order, as a slow entry may delay the head of a stream, and a bad
+// link its report. So an answer without a limit ends the limit only if its request was sent
+// after the limit was last reported, and an answer to a request older than the one that named
+// the limit changes nothing.
 func (l *limits) merge(now time.Time, list []*wire.Limit) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +71,7 @@
 	return changed
 }
 
-// retain drops the limits of upstreams that are not known any more.
+// retain drops the limits of upstreams for which known returns false.
 func (l *limits) retain(known func(upstream string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,8 +102,8 @@
 }
 
 // listFor returns the limits for an entry, with the shares of that entry. Known returns the
-// entries that share them; unless it has all of them, the entry is told to keep the shares that
-// it has.
+// entries that share the limits, and whether these are all; if not, the entry is told to keep
+// its present shares.
 func (l *limits) listFor(now time.Time, node string, known func() (entries []string, all bool)) []*wire.Limit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// applyLimits records limits and announces those that changed to the scheduler.
+// applyLimits records limits and announces the changed ones to the scheduler.
 func (h *Hub) applyLimits(s *scheduler, list []*wire.Limit) {
 	for _, id := range s.limits.merge(time.Now(), list) {
 		rate, ok := s.limits.rate(id)
--- a/io/hub/limits_test.go
+++ b/io/hub/limits_test.go
@@ -108,8 +108,8 @@
 }
 
 // Guards against a new scheduler that divides a limit among the few entries that have polled it
-// so far: each would be told a share that is too large, and together they would send several
-// times the limit.
+// so far: each would get a share that is too large, and together they would send several times
+// the limit.
 func TestNewSchedulerKeepsLimitShares(t *testing.T) {
 	const n, rate = 7, 3
 	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
--- a/io/hub/rates.go
+++ b/io/hub/rates.go
@@ -14,17 +14,17 @@
 	// of the accounts' rates. A live entry polls again within 2 s.
 	entrySilentAfter = 2800 * time.Millisecond
 	// takeoverGrace is how long the entries of the former leader may take to poll the new one.
-	// After it the leader reserves shares of the rates for those that are missing. Most poll
+	// After it the new leader reserves shares of the rates for the missing entries. Most poll
 	// within half of that time.
 	takeoverGrace = 300 * time.Millisecond
 	// minLeaderShare is the share of a rate that the leader keeps in any case.
 	minLeaderShare = 0.2
 )
 
-// rates holds the accounts' rates, less what entries that the scheduler does not hear may still
-// admit. Without that deduction an account that asks for its whole rate on both sides of a
-// network partition would exceed its rate by what the entries on the other side admit. The zero
-// value is ready.
+// rates holds the accounts' rates, less the units that entries may still admit without being
+// heard by the scheduler. Without that deduction an account that asks for its whole rate on both
+// sides of a network partition would exceed its rate by the units admitted on the other side.
+// The zero value is ready.
 type rates struct {
 	accounts map[string]acct.Account
 	usage    map[string]*usage.Usage // By entry incarnation.
@@ -56,7 +56,7 @@
 }
 
 // setSilent takes the list of silent entries and reports whether it has changed. The rates of an
-// entry are those from before it fell silent.
+// entry are taken from the time before it fell silent.
 func (r *rates) setSilent(now time.Time, silent []string) bool {
 	old, changed := r.silentRates, false
 	r.silentRates = make(map[string]map[string]float64, len(silent))
@@ -84,8 +84,8 @@
 	delete(r.priorRates, incarnation)
 }
 
-// addPrior takes what accounts used at an entry before it polled this scheduler, in units per
-// second. It reports whether that is new.
+// addPrior takes the units per second that accounts used at an entry before it polled this
+// scheduler. It reports whether they are new.
 func (r *rates) addPrior(incarnation string, list []*wire.AccountUsage) bool {
 	if r.priorRates[incarnation] != nil || len(list) == 0 {
 		return false
@@ -101,15 +101,15 @@
 	return true
 }
 
-// estimatePrior estimates what an account used before, in units per second. All is the number of
-// entries; those that have not reported are taken to be like those that have.
+// estimatePrior estimates how many units per second an account used before. All is the number of
+// entries; entries that have not reported are assumed to match the average of the others.
 func (r *rates) estimatePrior(all int64, account string) float64 {
 	return r.priorTotals[account] * max(float64(all)/float64(max(len(r.priorRates), 1)), 1)
 }
 
 // leaderShare returns the share of an account's rate that the leader admits itself.
 func (r *rates) leaderShare(name string) float64 {
-	// Entries that this leader never heard are taken to use as much as the others.
+	// Entries that this leader never heard are assumed to use as much as the others.
 	used, rate := r.silentRate(name)+r.unseenRatio*r.priorTotals[name], r.accounts[name].Rate
 	if used == 0 || rate <= 0 {
 		return 1
@@ -123,7 +123,7 @@
 	return allow.Alone(share, r.priorTotals[name], r.accounts[name].Rate)
 }
 
-// silentRate returns what an account used at silent entries, in units per second.
+// silentRate returns how many units per second an account used at silent entries.
 func (r *rates) silentRate(account string) float64 {
 	total := 0.0
 	for _, accounts := range r.silentRates {
--- a/io/hub/rates_test.go
+++ b/io/hub/rates_test.go
@@ -35,9 +35,9 @@
 
 // A data centre is cut off together with the leader, and an account asks for its whole rate on
 // both sides. The new leader has never heard the entries that are cut off, which go on admitting
-// what was used there. It reserves rates for them by their number; otherwise the account's
-// servers would get a fifth more than agreed. The whole rate is admitted again once the entries
-// poll, or once silentEntryRetention has passed.
+// the rates used there before. It reserves rates for them by their number; otherwise the
+// account's servers would get a fifth more than agreed. The whole rate is admitted again once
+// the entries poll, or once silentEntryRetention has passed.
 func TestNewLeaderReservesRateForUnseenEntries(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
 		_, err := askNews(h, &wire.Watch{Node: "near", Incarnation: "near", Entries: 2, Rates: []*wire.AccountUsage{{Account: "a", Units: 500}}})
@@ -53,7 +53,7 @@
 }
 
 // An account asks for several times its rate when the leader changes. The first of ten entries
-// reports to the new leader what the account used there. The account must not get a full burst
+// reports the account's prior usage to the new leader. The account must not get a full burst
 // again before the other entries have reported.
 func TestNoFullBurstAfterTakeover(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
--- a/io/hub/reachability.go
+++ b/io/hub/reachability.go
@@ -24,7 +24,7 @@
 type reachability struct {
 	mu             sync.Mutex
 	servedAt       map[string]time.Time // Last completed run, by data centre.
-	unreachedSince map[string]time.Time // By data centre, only those that seem cut off.
+	unreachedSince map[string]time.Time // Data centres that seem cut off, and since when.
 	heardAt        map[string]time.Time // When a replica there was last heard, by data centre.
 	change         signal
 }
@@ -39,8 +39,8 @@
 	r.servedAt[dataCentre] = now
 }
 
-// update takes what the leader hears from the other replicas and reports whether the list of
-// unreached data centres has changed.
+// update takes the silence of the other replicas as the leader sees it, and reports whether the
+// list of unreached data centres has changed.
 func (r *reachability) update(now time.Time, peers []raft.Heard) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/io/hub/scheduler.go
+++ b/io/hub/scheduler.go
@@ -36,8 +36,8 @@
 	version   uint64
 	startedAt time.Time
 	// entriesHere is the number of entries in this data centre, for a scheduler of one data
-	// centre. entriesTotal is the number of all entries, as the former scheduler told the
-	// entries.
+	// centre. entriesTotal is the number of all entries. Entries know it from the former
+	// scheduler.
 	entriesHere, entriesTotal int64
 	loggedShares              map[string]float64 // Shares of rates as last logged, by account.
 	sharesLoggedAt            time.Time
@@ -78,11 +78,11 @@
 	}
 	isNew := s.rates.addPrior(w.GetIncarnation(), w.GetRates())
 	if s.scope == scopeDeployment {
-		// The accounts of a leader start with a full burst, as after a full restart nobody has
-		// used anything for a while. When they started with a fraction of a burst, as is needed
+		// The accounts of a leader start with a full burst, as after a full restart no account
+		// has been used for a while. When they started with a fraction of a burst, as is needed
 		// if another leader may have just admitted all of it, most callers who returned after
-		// the restart were refused although they were far below their rate. What entries report
-		// as used before is deducted instead, and the first entries stand for all: otherwise,
+		// the restart were refused although they were far below their rate. The prior usage that
+		// entries report is deducted instead, and the first entries stand for all: otherwise,
 		// until the last one has reported, an account that asks for several times its rate would
 		// get a full burst again.
 		for account, units := range estimates {
@@ -103,7 +103,7 @@
 }
 
 // entryCount returns how many entries share the limits. It includes entries that a scheduler of
-// one data centre does not hear, and those that have not polled a new leader yet.
+// one data centre does not hear, and entries that have not polled a new leader yet.
 func (s *scheduler) entryCount(here int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/hub/scope_test.go
+++ b/io/hub/scope_test.go
@@ -48,7 +48,7 @@
 			d := submit(h, id, 1)
 			must.Eq(t, "near", d.GetGrant().GetUpstream(), must.Sprint(d))
 		}
-		must.Nil(t, h.leaderScheduler(), must.Sprint("it does not lead, so what needs the log is refused"))
+		must.Nil(t, h.leaderScheduler(), must.Sprint("it does not lead, so changes to the log are refused"))
 		f.mu.Lock()
 		f.cutOff = false
 		f.notifyLocked()
@@ -60,7 +60,7 @@
 }
 
 // The leader loses its links to the other replicas, while its entries keep theirs. It then
-// schedules only for entries that reach no other replica, and sends away those that have
+// schedules only for entries that reach no other replica, and sends away entries that have
 // followed it so far: they would miss any configuration that is accepted elsewhere for as long
 // as the cut lasts.
 func TestEntriesLeaveCutOffLeader(t *testing.T) {
@@ -96,9 +96,9 @@
 	})
 }
 
-// Entries that served half of an account's requests are cut off. The scheduler there admits what
-// the leader reserves for those entries, which is what they used lately, and not the whole rate
-// on each side.
+// Entries that served half of an account's requests are cut off. The scheduler there admits the
+// rate that the leader reserves for those entries, which is their recent usage, and not the
+// whole rate on each side.
 func TestRatesWhileCutOff(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
 		h.DataCentre = "z1"
@@ -114,7 +114,8 @@
 }
 
 // Guards against a former leader that counts the entries of all data centres as cut off together
-// with it. An account would get half of its rate there, on top of what the next leader admits.
+// with it. An account would get half of its rate there, on top of the rate that the next leader
+// admits.
 func TestRatesOfCutOffFormerLeader(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
 		h.DataCentre = "z1"
--- a/io/hub/upstreams.go
+++ b/io/hub/upstreams.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// upstreamTable holds what a scheduler has heard from upstreams since it started. The zero
-	// value is ready.
+	// upstreamTable tracks the upstreams that a scheduler has heard from since it started. The
+	// zero value is ready.
 	upstreamTable struct {
 		mu     sync.Mutex
 		byID   map[string]*upstreamState
@@ -24,7 +24,7 @@
 		lease  time.Duration // Lease that the last announcement gave.
 	}
 
-	// upstreamState is what is known of one upstream.
+	// upstreamState is the state of one upstream.
 	upstreamState struct {
 		*wire.Upstream
 		seq         uint64 // Sequence number of the newest report.
@@ -146,7 +146,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	st := t.getOrCreate(u)
-	if u.GetBorn() > st.born { // A restarted upstream starts its sequence numbers anew.
+	if u.GetBorn() > st.born { // A restarted upstream numbers its announcements from 1 again.
 		st.seq, st.born = 0, u.GetBorn()
 	}
 	if seq <= st.seq && st.seq > 0 {
--- a/io/hub/watch.go
+++ b/io/hub/watch.go
@@ -73,7 +73,7 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-end.C:
-			n, _, err = h.news(s, w) // Read anew, as the news from before the wait is outdated.
+			n, _, err = h.news(s, w) // Read again, because the news from before the wait is outdated.
 			return n, err
 		case <-changed:
 		case <-reachChanged:
@@ -89,7 +89,7 @@
 }
 
 // entriesHere returns how many entries a scheduler may serve. A scheduler of one data centre
-// counts only the entries there: if this replica led before the cut, it has heard those
+// counts only the entries there: if this replica led before the cut, it has heard entries
 // elsewhere too.
 func (h *Hub) entriesHere(s *scheduler) int64 {
 	if s.scope == scopeDataCentre {
@@ -98,7 +98,7 @@
 	return h.watchers.count(time.Now())
 }
 
-// news returns what an entry needs to know, and whether any of it is new to the entry.
+// news returns the current state for an entry, and whether any of it is new to the entry.
 func (h *Hub) news(s *scheduler, w *wire.Watch) (*wire.News, bool, error) {
 	n := &wire.News{Leader: s.id, Entries: s.entryCount(h.entriesHere(s))}
 	_, all, _ := h.Replica.Group()
@@ -200,7 +200,7 @@
 	return old
 }
 
-// count returns how many entries share the limits. It drops those that were silent for longer
+// count returns how many entries share the limits. It drops entries that were silent for longer
 // than silentEntryRetention.
 func (ws *watchers) count(now time.Time) int64 {
 	ws.mu.Lock()
@@ -216,8 +216,8 @@
 	return n
 }
 
-// nodes lists the entries that share the limits, only those of one data centre unless dataCentre
-// is empty.
+// nodes lists the entries that share the limits, in one data centre or, if dataCentre is empty,
+// in all.
 func (ws *watchers) nodes(dataCentre string) []string {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -243,8 +243,8 @@
 	return n
 }
 
-// silent lists the incarnations that may be cut off and still serve: those that were silent for
-// entrySilentAfter, and those in one of the unreached data centres.
+// silent lists the incarnations that may be cut off and still serve: they were silent for
+// entrySilentAfter, or their data centre is unreached.
 func (ws *watchers) silent(now time.Time, unreached []string) []string {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
