--- a/io/hub/hub.go
+++ b/io/hub/hub.go
@@ -63,7 +63,7 @@
 		Upstream(id string) *wire.Upstream
 		Roster(since uint64) (list []*wire.Upstream, whole bool, revision uint64)
 		Bans() (list []*wire.Ban, revision uint64)
-		Group() (name string, all []*wire.Replica, peers []raft.Heard)
+		Group() (name string, all []*wire.Replica, peers []raft.PeerStatus)
 		Propose(ctx context.Context, c *wire.Command) (*wire.Result, error)
 		Handle(ctx context.Context, f *wire.Frame) (*wire.Frame, error)
 	}
--- a/io/hub/hub_test.go
+++ b/io/hub/hub_test.go
@@ -97,7 +97,7 @@
 	return f.state.Bans()
 }
 
-func (f *fakeReplica) Group() (string, []*wire.Replica, []raft.Heard) {
+func (f *fakeReplica) Group() (string, []*wire.Replica, []raft.PeerStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := make([]*wire.Replica, f.voters)
--- a/io/hub/reachability.go
+++ b/io/hub/reachability.go
@@ -41,7 +41,7 @@
 
 // update takes the silence of the other replicas as the leader sees it, and reports whether the
 // list of unreached data centres has changed.
-func (r *reachability) update(now time.Time, peers []raft.Heard) bool {
+func (r *reachability) update(now time.Time, peers []raft.PeerStatus) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.heardAt == nil {
--- a/io/hub/scope_test.go
+++ b/io/hub/scope_test.go
@@ -177,10 +177,10 @@
 				if tc.serves {
 					r.markServed(now, "z2")
 				}
-				r.update(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}, Silence: now.Sub(at)}})
+				r.update(now, []raft.PeerStatus{{Replica: &wire.Replica{DataCentre: "z2"}, Silence: now.Sub(at)}})
 			}
 			must.SliceEqFunc(t, tc.want, r.list(), func(a, b string) bool { return a == b })
-			r.update(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}}})
+			r.update(now, []raft.PeerStatus{{Replica: &wire.Replica{DataCentre: "z2"}}})
 			must.SliceEmpty(t, r.list(), must.Sprint("the replica answers again"))
 		})
 	}
