--- a/io/gate/alone.go
+++ b/io/gate/alone.go
@@ -88,9 +88,9 @@
 	return allow.Alone(share, a.used.Rate(now, name), c.Rate)
 }
 
-// Rates is what accounts used here of late, in units a second, for a scheduler that
+// UsageRates is what accounts used here of late, in units a second, for a scheduler that
 // knows nothing of them yet.
-func (g *Gate) Rates() []*wire.AccountUsage {
+func (g *Gate) UsageRates() []*wire.AccountUsage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var list []*wire.AccountUsage
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -30,20 +30,20 @@
 	Gate struct {
 		Node        string
 		Incarnation string
-		Centre      string
-		News        news
+		DataCentre      string
+		Cluster        news
 		Granter     granter
 		Sender      sender
 		Prober      prober
 		Trier       trier
 		Dialect     dialect
-		Ratio       float64 // Part of the requests that may be sent a second time.
-		Slack       float64 // Second sends beyond that, over all entries.
+		RetryRatio       float64 // Part of the requests that may be sent a second time.
+		RetrySlack       float64 // Second sends beyond that, over all entries.
 		QuotaSlack  float64 // Units that all entries together may let pass beyond an account's rate.
 		Stats       *stats.Stats
 		Log         logr.Logger
 
-		draining atomic.Pointer[Stop]
+		draining atomic.Pointer[DrainSchedule]
 		early    atomic.Int64  // Requests that wait for the first configuration.
 		last     atomic.Uint64 // Ticket number.
 		suspects suspects
@@ -114,34 +114,34 @@
 	stopRetry = 50 * time.Millisecond
 )
 
-// Stop says how an entry that stops treats requests.
-type Stop struct {
-	Refuse time.Time // What may not be done by End is refused from here on.
-	End    time.Time // What runs then is cut off.
+// DrainSchedule says how an entry that stops treats requests.
+type DrainSchedule struct {
+	RefuseFrom time.Time // What may not be done by End is refused from here on.
+	Deadline    time.Time // What runs then is cut off.
 }
 
 // Drain makes callers close their connections: each answer asks them to.
-func (g *Gate) Drain(s Stop) { g.draining.Store(&s) }
+func (g *Gate) Drain(s DrainSchedule) { g.draining.Store(&s) }
 
 // Ready reports whether callers should be sent here.
-func (g *Gate) Ready() bool { return g.draining.Load() == nil && g.News.View().Index != nil }
+func (g *Gate) Ready() bool { return g.draining.Load() == nil && g.Cluster.View().Index != nil }
 
 // stopping reports whether a request that may last so long comes too late for
 // an entry that stops: it would be cut off in the middle.
 func (g *Gate) stopping(now time.Time, last time.Duration) bool {
 	s := g.draining.Load()
-	return s != nil && now.After(s.Refuse) && now.Add(last).After(s.End)
+	return s != nil && now.After(s.RefuseFrom) && now.Add(last).After(s.Deadline)
 }
 
 // ServeHTTP serves one request.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q := &request{gate: g, w: w, r: r, start: time.Now(), view: g.News.View()}
+	q := &request{gate: g, w: w, r: r, start: time.Now(), view: g.Cluster.View()}
 	if g.draining.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	if q.view.Index == nil {
 		g.untilConfigured(r.Context())
-		q.view = g.News.View()
+		q.view = g.Cluster.View()
 	}
 	if err := q.open(); err != nil {
 		q.refuse(err)
@@ -161,7 +161,7 @@
 	limit := time.NewTimer(awaitFor)
 	defer limit.Stop()
 	select {
-	case <-g.News.Configured():
+	case <-g.Cluster.Configured():
 	case <-limit.C:
 	case <-ctx.Done():
 	}
--- a/io/gate/gate_test.go
+++ b/io/gate/gate_test.go
@@ -206,7 +206,7 @@
 func TestStopping(t *testing.T) {
 	u := newUpstream(t, text("ok"))
 	s := newSite(t, u)
-	s.Drain(Stop{Refuse: time.Now(), End: time.Now().Add(time.Second)})
+	s.Drain(DrainSchedule{RefuseFrom: time.Now(), Deadline: time.Now().Add(time.Second)})
 	must.False(t, s.Ready())
 	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x", "X-Wait", "200ms").status)
 	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x", "X-Wait", "1500ms").status)
--- a/io/gate/limits.go
+++ b/io/gate/limits.go
@@ -52,7 +52,7 @@
 		return
 	}
 	if k == nil {
-		k = &limited{share: 1 / float64(max(g.News.View().Entries, 1))} // Until the scheduler tells it.
+		k = &limited{share: 1 / float64(max(g.Cluster.View().Entries, 1))} // Until the scheduler tells it.
 		if l.known == nil {
 			l.known = map[string]*limited{}
 		}
@@ -82,7 +82,7 @@
 	}
 	k.reported = now
 	g.reportLimit(&wire.Limit{Upstream: upstream, Ended: true, AgeUs: now.Sub(sent).Microseconds()})
-	if g.News.View().Owner == nil {
+	if g.Cluster.View().Owner == nil {
 		g.unlimit(upstream)
 	}
 }
@@ -108,8 +108,8 @@
 	g.peers.Limit(now, upstream, k.rate, k.share)
 }
 
-// Limited takes the scheduler's list, with this entry's shares.
-func (g *Gate) Limited(list []*wire.Limit) {
+// SetLimits takes the scheduler's list, with this entry's shares.
+func (g *Gate) SetLimits(list []*wire.Limit) {
 	now, l := time.Now(), &g.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,8 +140,8 @@
 	}
 }
 
-// Limits is all that this entry knows, for a scheduler that is new to it.
-func (g *Gate) Limits() []*wire.Limit {
+// KnownLimits is all that this entry knows, for a scheduler that is new to it.
+func (g *Gate) KnownLimits() []*wire.Limit {
 	now, l := time.Now(), &g.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -152,8 +152,8 @@
 	return list
 }
 
-// NewLimits takes what is to be reported.
-func (g *Gate) NewLimits() []*wire.Limit {
+// TakeLimitReports takes what is to be reported.
+func (g *Gate) TakeLimitReports() []*wire.Limit {
 	l := &g.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/io/gate/limits_test.go
+++ b/io/gate/limits_test.go
@@ -17,7 +17,7 @@
 	s := newSite(t, limited, free)
 	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
 	must.Eq(t, 1, limited.count())
-	reports := s.NewLimits()
+	reports := s.TakeLimitReports()
 	must.Len(t, 1, reports)
 	must.Eq(t, 2, reports[0].GetPerSecond())
 	start := time.Now()
@@ -25,23 +25,23 @@
 		must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
 	}
 	must.LessEq(t, 1+int(2*time.Since(start).Seconds()), limited.count())
-	must.Len(t, 1, s.Limits())
+	must.Len(t, 1, s.KnownLimits())
 
-	s.Limited([]*wire.Limit{{Upstream: "up-0", PerSecond: 2, Share: 0}})
+	s.SetLimits([]*wire.Limit{{Upstream: "up-0", PerSecond: 2, Share: 0}})
 	before := limited.count()
 	time.Sleep(600 * time.Millisecond)
 	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
 	must.Eq(t, before, limited.count())
 	time.Sleep(ownFor)
-	s.Limited(nil)
-	must.SliceEmpty(t, s.Limits())
+	s.SetLimits(nil)
+	must.SliceEmpty(t, s.KnownLimits())
 }
 
 // Guards against all of hundreds of entries that each take a share when an upstream names
 // another limit, though the scheduler has given it to a few.
 func TestShareStaysWhenALimitChanges(t *testing.T) {
 	s := newSite(t, newUpstream(t, text("ok")), newUpstream(t, text("ok")))
-	s.Limited([]*wire.Limit{{Upstream: "up-0", PerSecond: 2, Share: 0}})
+	s.SetLimits([]*wire.Limit{{Upstream: "up-0", PerSecond: 2, Share: 0}})
 	s.named(time.Now(), "3")
 	time.Sleep(time.Second)
 	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
@@ -54,8 +54,8 @@
 func TestShareStaysWhileEntriesCome(t *testing.T) {
 	s := newSite(t, newUpstream(t, text("ok")))
 	for _, share := range []float64{0.25, 0} {
-		s.Limited([]*wire.Limit{{Upstream: "up-0", PerSecond: 2, Share: share}})
-		s.Limited([]*wire.Limit{{Upstream: "up-0", PerSecond: 2, Share: 1, KeepShare: true}})
+		s.SetLimits([]*wire.Limit{{Upstream: "up-0", PerSecond: 2, Share: share}})
+		s.SetLimits([]*wire.Limit{{Upstream: "up-0", PerSecond: 2, Share: 1, KeepShare: true}})
 		must.Eq(t, share, s.limits.known["up-0"].share)
 	}
 }
@@ -68,17 +68,17 @@
 	s.named(start, "1.5")
 	s.named(start.Add(-time.Second), "")
 	s.named(start.Add(-time.Second), "9")
-	must.Len(t, 1, s.Limits())
-	must.Eq(t, 1.5, s.Limits()[0].GetPerSecond())
+	must.Len(t, 1, s.KnownLimits())
+	must.Eq(t, 1.5, s.KnownLimits()[0].GetPerSecond())
 	for _, h := range []http.Header{{}, {"X-Limit": {"7"}}} { // Another upstream at the same address.
 		s.limited("up-0", time.Now(), &http.Response{StatusCode: http.StatusMisdirectedRequest, Header: h})
-		must.Len(t, 1, s.Limits())
-		must.Eq(t, 1.5, s.Limits()[0].GetPerSecond())
+		must.Len(t, 1, s.KnownLimits())
+		must.Eq(t, 1.5, s.KnownLimits()[0].GetPerSecond())
 	}
 	time.Sleep(reportAgain)
 	s.named(time.Now(), "")
-	must.SliceEmpty(t, s.Limits())
-	reports := s.NewLimits()
+	must.SliceEmpty(t, s.KnownLimits())
+	reports := s.TakeLimitReports()
 	must.True(t, reports[len(reports)-1].GetEnded())
 }
 
--- a/io/gate/place.go
+++ b/io/gate/place.go
@@ -56,14 +56,14 @@
 	var until time.Time
 	held := false
 	for {
-		q.view = q.gate.News.View()
+		q.view = q.gate.Cluster.View()
 		pool := q.view.Index.Pool(q.pool)
 		if pool.Slots > 0 && q.view.Owner != nil {
 			p, err := q.granted(ctx)
 			if !errors.Is(err, grant.ErrNoOwner) {
 				return p, err
 			}
-			q.view = q.gate.News.View()
+			q.view = q.gate.Cluster.View()
 		}
 		if pool.Slots > 0 && !held {
 			held = true
@@ -87,7 +87,7 @@
 // awaitScheduler waits a moment for a scheduler and reports whether there is one.
 func (q *request) awaitScheduler(ctx context.Context) bool {
 	until := time.Now().Add(min(schedulerWait, q.patient()))
-	for q.gate.News.View().Owner == nil {
+	for q.gate.Cluster.View().Owner == nil {
 		if !q.lookAgain(ctx, until) {
 			return false
 		}
@@ -121,7 +121,7 @@
 	t := q.ticket()
 	var doubt *time.Timer
 	doubt = time.AfterFunc(doubtAfter, func() {
-		q.gate.News.Doubt(ctx)
+		q.gate.Cluster.Doubt(ctx)
 		doubt.Reset(doubtAfter)
 	})
 	g, err := q.gate.Granter.Grant(ctx, t)
@@ -143,7 +143,7 @@
 	g, now := q.gate, time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c := peers.Choice{Self: g.Node, Centre: g.Centre, Avoid: q.avoid, Silent: q.view.Silent, Unreached: q.view.Unreached, Isolated: q.view.Isolated}
+	c := peers.Choice{Self: g.Node, Centre: g.DataCentre, Avoid: q.avoid, Silent: q.view.Silent, Unreached: q.view.Unreached, Isolated: q.view.Isolated}
 	if slots > 0 {
 		c.Most = max(int(aloneShare*float64(slots)/float64(max(q.view.Entries, 1))), 1)
 	}
@@ -179,7 +179,7 @@
 func (p *place) done(res result) {
 	g := p.q.gate
 	if res.end == other {
-		g.News.Replaced(p.up.GetId())
+		g.Cluster.Replaced(p.up.GetId())
 	}
 	g.learn(p, res)
 	if p.grant == nil {
@@ -237,10 +237,10 @@
 	}
 	b := g.budgets[q.pool]
 	if b == nil {
-		b = &budget.Budget{Ratio: budgetPart * g.Ratio}
+		b = &budget.Budget{Ratio: budgetPart * g.RetryRatio}
 		g.budgets[q.pool] = b
 	}
-	b.Burst = max(budgetPart*g.Slack/float64(max(q.view.Entries, 1)), leastBurst)
+	b.Burst = max(budgetPart*g.RetrySlack/float64(max(q.view.Entries, 1)), leastBurst)
 	b.Add()
 }
 
@@ -252,8 +252,8 @@
 	return b != nil && b.Take()
 }
 
-// Usage takes what was served without asking a scheduler since the last call.
-func (g *Gate) Usage() *wire.Usage {
+// TakeUsage takes what was served without asking a scheduler since the last call.
+func (g *Gate) TakeUsage() *wire.Usage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.usage) == 0 {
--- a/io/gate/place_test.go
+++ b/io/gate/place_test.go
@@ -62,7 +62,7 @@
 	bad := answer(http.StatusInternalServerError, "", "")
 	first, second := newUpstream(t, bad), newUpstream(t, bad)
 	s := newSite(t, first, second)
-	s.Ratio, s.Slack = 0.2, 10
+	s.RetryRatio, s.RetrySlack = 0.2, 10
 	for range 100 {
 		s.ask("POST", "/again/x")
 	}
@@ -88,8 +88,8 @@
 	must.Between(t, 1, u.count(), 8)
 	s.view.Owner = &wire.Member{Incarnation: "owner"}
 	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
-	must.Eq(t, 200, s.Usage().GetAccounts()[0].GetUnits())
-	must.Nil(t, s.Usage())
+	must.Eq(t, 200, s.TakeUsage().GetAccounts()[0].GetUnits())
+	must.Nil(t, s.TakeUsage())
 }
 
 // An account uses up its rate while a scheduler answers. The scheduler is lost:
--- a/io/gate/reports.go
+++ b/io/gate/reports.go
@@ -8,8 +8,8 @@
 	wake chan struct{}
 }
 
-// Reports signals that Suspects or NewLimits has something to take.
-func (g *Gate) Reports() <-chan struct{} { return g.reports.signal() }
+// ReportsPending signals that Suspects or NewLimits has something to take.
+func (g *Gate) ReportsPending() <-chan struct{} { return g.reports.signal() }
 
 func (r *reports) signal() chan struct{} {
 	r.once.Do(func() { r.wake = make(chan struct{}, 1) })
--- a/io/gate/site_test.go
+++ b/io/gate/site_test.go
@@ -247,8 +247,8 @@
 		})
 	}
 	s.Gate = &Gate{
-		Node: "e", Incarnation: "i", Centre: "z0", News: s, Granter: s, Sender: &client.Client{Echo: idHeader}, Prober: &client.Client{}, Dialect: plain{},
-		Ratio: 1, Slack: 100, Log: logr.Discard(),
+		Node: "e", Incarnation: "i", DataCentre: "z0", Cluster: s, Granter: s, Sender: &client.Client{Echo: idHeader}, Prober: &client.Client{}, Dialect: plain{},
+		RetryRatio: 1, RetrySlack: 100, Log: logr.Discard(),
 	}
 	s.srv = httptest.NewServer(s.Gate)
 	t.Cleanup(s.srv.Close)
--- a/io/gate/suspects.go
+++ b/io/gate/suspects.go
@@ -86,7 +86,7 @@
 // refusedAs returns the refusal of a request that is banned, nil for all others.
 func (q *request) refusedAs(ctx context.Context) *refuse.Error {
 	d := q.digest()
-	if !q.gate.suspects.has(d, q.gate.News.View().Owner == nil) {
+	if !q.gate.suspects.has(d, q.gate.Cluster.View().Owner == nil) {
 		return nil
 	}
 	if q.gate.suspects.due(time.Now(), d) {
@@ -151,9 +151,9 @@
 	s.unsent.Cleared = append(s.unsent.Cleared, d[:])
 }
 
-// Banned takes the scheduler's list. What it no longer lists was lifted, unless the
+// SetBans takes the scheduler's list. What it no longer lists was lifted, unless the
 // scheduler is another one than before: that one may not have heard of it yet.
-func (g *Gate) Banned(list *wire.Bans, other bool) {
+func (g *Gate) SetBans(list *wire.Bans, other bool) {
 	now, s := time.Now(), &g.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,8 +202,8 @@
 	}
 }
 
-// Crashes is all that this entry knows, for a scheduler that is new to it.
-func (g *Gate) Crashes() *wire.Crashes {
+// KnownCrashes is all that this entry knows, for a scheduler that is new to it.
+func (g *Gate) KnownCrashes() *wire.Crashes {
 	s := &g.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,8 +215,8 @@
 	return c
 }
 
-// Suspects takes what is to be reported.
-func (g *Gate) Suspects() *wire.Crashes {
+// TakeCrashReports takes what is to be reported.
+func (g *Gate) TakeCrashReports() *wire.Crashes {
 	s := &g.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,8 +225,8 @@
 	return c
 }
 
-// Unreported takes back what could not be reported.
-func (g *Gate) Unreported(c *wire.Crashes) {
+// RequeueCrashReports takes back what could not be reported.
+func (g *Gate) RequeueCrashReports(c *wire.Crashes) {
 	s := &g.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/gate/suspects_test.go
+++ b/io/gate/suspects_test.go
@@ -112,18 +112,18 @@
 	s.Trier = &one
 	d := digest.Of("radio", "h", "/once/x", []byte("text"))
 	list := &wire.Bans{Revision: 1, Banned: []*wire.Ban{{Digest: d[:], NextUs: -1}}, Watched: []*wire.Watched{{Digest: d[:]}}}
-	s.Banned(list, true)
+	s.SetBans(list, true)
 	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x").status)
 	must.Eq(t, http.StatusOK, s.ask("POST", "/once/y").status)
 	must.Eq(t, 1, u.count())
 
 	list.Banned[0].NextUs = 0
-	s.Banned(list, false)
+	s.SetBans(list, false)
 	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
 	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x").status)
-	must.Eq(t, [][]byte{d[:]}, s.Suspects().GetCleared())
+	must.Eq(t, [][]byte{d[:]}, s.TakeCrashReports().GetCleared())
 
-	s.Banned(&wire.Bans{Revision: 2}, false)
+	s.SetBans(&wire.Bans{Revision: 2}, false)
 	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
 }
 
@@ -136,9 +136,9 @@
 		s.suspects.crash(time.Now(), d, up)
 	}
 	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x").status)
-	s.Banned(&wire.Bans{Revision: 1}, true)
+	s.SetBans(&wire.Bans{Revision: 1}, true)
 	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x").status)
-	s.Banned(&wire.Bans{Revision: 2}, false)
+	s.SetBans(&wire.Bans{Revision: 2}, false)
 	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
 }
 
@@ -152,7 +152,7 @@
 		age     time.Duration
 		cleared int
 	}{{0, 0}, {time.Minute, 1}} {
-		s.Banned(&wire.Bans{Watched: []*wire.Watched{{Digest: d[:], AgeUs: tc.age.Microseconds()}}}, true)
-		must.Eq(t, tc.cleared, len(s.Suspects().GetCleared()))
+		s.SetBans(&wire.Bans{Watched: []*wire.Watched{{Digest: d[:], AgeUs: tc.age.Microseconds()}}}, true)
+		must.Eq(t, tc.cleared, len(s.TakeCrashReports().GetCleared()))
 	}
 }
