--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -1,6 +1,5 @@
-// Package gate serves the callers of routes: it finds the route and the client
-// account of a request, gets a place for it at an upstream, and passes the
-// answer on.
+// Package gate serves callers' requests over HTTP. It matches a request to a route and a client
+// account, obtains an upstream for it and relays the response.
 package gate
 
 import (
@@ -25,41 +24,40 @@
 )
 
 type (
-	// Gate is the handler of callers' requests. Its exported fields are set
-	// before use.
+	// Gate is the handler of callers' requests. Its exported fields must be set before use.
 	Gate struct {
 		Node        string
 		Incarnation string
-		Centre      string
-		News        news
+		DataCentre  string
+		Cluster     clusterState
 		Granter     granter
 		Sender      sender
 		Prober      prober
 		Trier       trier
 		Dialect     dialect
-		Ratio       float64 // Part of the requests that may be sent a second time.
-		Slack       float64 // Second sends beyond that, over all entries.
-		QuotaSlack  float64 // Units that all entries together may let pass beyond an account's rate.
+		RetryRatio  float64 // Retries allowed, as a fraction of requests.
+		RetrySlack  float64 // Retries allowed beyond RetryRatio, over all entries.
+		QuotaSlack  float64 // Units beyond an account's rate that all entries together may allow.
 		Stats       *stats.Stats
 		Log         logr.Logger
 
-		draining atomic.Pointer[Stop]
-		early    atomic.Int64  // Requests that wait for the first configuration.
-		last     atomic.Uint64 // Ticket number.
-		suspects suspects
-		limits   limits
-		reports  reports
+		draining         atomic.Pointer[DrainSchedule]
+		waitingForConfig atomic.Int64  // Requests that wait for the first configuration.
+		lastTicket       atomic.Uint64 // ID of the last ticket.
+		suspects         suspects
+		rateLimits       rateLimits
+		reportSignal     reportSignal
 
-		mu      sync.Mutex // Of what follows.
-		peers   peers.Peers
-		budgets map[string]*budget.Budget // By pool.
-		usage   map[string]int64          // Units by account, not reported yet.
-		alone   alone
-		before  map[string]*before.Before // By route.
+		mu              sync.Mutex // Guards the fields below.
+		peers           peers.Peers
+		budgets         map[string]*budget.Budget // By pool.
+		unreportedUsage map[string]int64          // Units by account that have not been reported yet.
+		localQuota      localQuota
+		retryAges       map[string]*before.Before // By route; estimate how long ago callers first tried.
 	}
 
-	// news is what the entry knows of the deployment.
-	news interface {
+	// clusterState is this entry's view of the deployment; see watch.Watch.
+	clusterState interface {
 		View() *watch.View
 		Configured() <-chan struct{}
 		Doubt(ctx context.Context)
@@ -71,143 +69,148 @@
 		Release(r *wire.Release)
 	}
 
-	// sender does one round trip; see client.Client.
+	// sender performs one round trip. The bool reports whether any byte may have been sent; see
+	// client.Client.
 	sender interface {
 		Send(ctx context.Context, r *http.Request) (*http.Response, bool, error)
 	}
 
-	// dialect knows how headers are spoken here.
+	// dialect reads and writes the HTTP headers that this deployment uses.
 	dialect interface {
-		// Read returns what the caller's header says.
+		// Read parses the header of a caller's request.
 		Read(h http.Header) (meta.Meta, error)
-		// Forward returns the header for an upstream: without what concerns one
-		// connection, the caller's key, and what only this system may say.
+		// Forward returns the header for an upstream: the caller's header without hop-by-hop
+		// headers, the caller's key and headers that only this system may set.
 		Forward(h http.Header) http.Header
-		// Stamp adds what one upstream is told.
+		// Stamp adds the headers that are specific to one upstream.
 		Stamp(h http.Header, hop meta.Hop)
-		// NotRun reports whether an upstream says that it did not run the request.
+		// NotRun reports whether a response says that the upstream did not run the request.
 		NotRun(r *http.Response) bool
-		// Other reports whether another upstream than the one meant has answered.
+		// Other reports whether an upstream other than the addressed one has responded.
 		Other(r *http.Response) bool
-		// Load returns what an upstream says of its load, if it does.
+		// Load returns the load that an upstream reports in its response, if any.
 		Load(r *http.Response) (peers.Load, bool)
-		// Limit returns the requests a second that an upstream takes from all, if it says.
+		// Limit returns the requests per second that an upstream accepts from all clients together,
+		// if the response states a limit.
 		Limit(r *http.Response) (float64, bool)
-		// Genuine reports whether an answer shows that an upstream made it.
+		// Genuine reports whether a response proves that an upstream created it.
 		Genuine(r *http.Response) bool
-		// Refuse adds to the header of a refusal when the caller may come back.
+		// Refuse adds the time after which the caller may retry to the header of a refusal.
 		Refuse(h http.Header, after time.Duration)
 	}
 )
 
 const (
-	bodyLimit = 4 << 20 // Bytes of a body where the configuration sets no limit.
-	// notReadyRetry is what callers are told while no configuration is known.
-	notReadyRetry = 500 * time.Millisecond
-	// awaitFor is how long a request waits for the first configuration, and
-	// awaitMost how many do. After a kill or a loss of power of everything entries
-	// are back up to half a second before the last replica that a leader needs.
-	// Refused then, callers have used up a try; their objectives are longer.
-	awaitFor  = 600 * time.Millisecond
-	awaitMost = 500
-	// stopRetry is what callers are told by an entry that stops: others serve.
-	stopRetry = 50 * time.Millisecond
+	defaultBodyLimit = 4 << 20 // Bytes; applies if the configuration sets no limit.
+	// defaultRetryAfter is the Retry-After of refusals because no configuration is known, no
+	// upstream can be reached or the deadline passed before the request ran.
+	defaultRetryAfter = 500 * time.Millisecond
+	// configWait is how long a request waits for the first configuration, and maxConfigWaiters is
+	// how many requests may wait at once. When the whole deployment restarts after a crash or a
+	// power loss, entries are up to half a second ahead of the last replica that a leader needs for
+	// its quorum. A refusal during that time would cost callers one of their attempts, and their
+	// objectives are longer than this wait.
+	configWait       = 600 * time.Millisecond
+	maxConfigWaiters = 500
+	// drainRetryAfter is the Retry-After of a draining entry. It is short because other entries
+	// still serve.
+	drainRetryAfter = 50 * time.Millisecond
 )
 
-// Stop says how an entry that stops treats requests.
-type Stop struct {
-	Refuse time.Time // What may not be done by End is refused from here on.
-	End    time.Time // What runs then is cut off.
+// DrainSchedule says how a draining entry treats requests.
+type DrainSchedule struct {
+	RefuseFrom time.Time // From this time on, requests that may run past Deadline are refused.
+	Deadline   time.Time // Requests that still run at this time are cut off.
 }
 
-// Drain makes callers close their connections: each answer asks them to.
-func (g *Gate) Drain(s Stop) { g.draining.Store(&s) }
+// Drain starts draining. From now on each response asks the caller to close its connection.
+func (g *Gate) Drain(s DrainSchedule) { g.draining.Store(&s) }
 
-// Ready reports whether callers should be sent here.
-func (g *Gate) Ready() bool { return g.draining.Load() == nil && g.News.View().Index != nil }
+// Ready reports whether callers should be sent to this entry.
+func (g *Gate) Ready() bool { return g.draining.Load() == nil && g.Cluster.View().Index != nil }
 
-// stopping reports whether a request that may last so long comes too late for
-// an entry that stops: it would be cut off in the middle.
-func (g *Gate) stopping(now time.Time, last time.Duration) bool {
+// drainCutsOff reports whether a draining entry must refuse a request that may take as long as
+// maxDuration, because the request would be cut off while it runs.
+func (g *Gate) drainCutsOff(now time.Time, maxDuration time.Duration) bool {
 	s := g.draining.Load()
-	return s != nil && now.After(s.Refuse) && now.Add(last).After(s.End)
+	return s != nil && now.After(s.RefuseFrom) && now.Add(maxDuration).After(s.Deadline)
 }
 
 // ServeHTTP serves one request.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	q := &request{gate: g, w: w, r: r, start: time.Now(), view: g.News.View()}
+	q := &request{gate: g, w: w, r: r, start: time.Now(), view: g.Cluster.View()}
 	if g.draining.Load() != nil {
 		w.Header().Set("Connection", "close")
 	}
 	if q.view.Index == nil {
-		g.untilConfigured(r.Context())
-		q.view = g.News.View()
+		g.awaitConfig(r.Context())
+		q.view = g.Cluster.View()
 	}
-	if err := q.open(); err != nil {
+	if err := q.prepare(); err != nil {
 		q.refuse(err)
 		return
 	}
 	q.serve()
 }
 
-// untilConfigured waits for the first configuration, without which nothing can be told of
-// a request, for as long as one that has just started may take to get it.
-func (g *Gate) untilConfigured(ctx context.Context) {
-	if g.early.Add(1) > awaitMost {
-		g.early.Add(-1)
+// awaitConfig waits up to configWait for the first configuration, without which no request can be
+// routed. A process that has just started usually receives it within that time.
+func (g *Gate) awaitConfig(ctx context.Context) {
+	if g.waitingForConfig.Add(1) > maxConfigWaiters {
+		g.waitingForConfig.Add(-1)
 		return
 	}
-	defer g.early.Add(-1)
-	limit := time.NewTimer(awaitFor)
+	defer g.waitingForConfig.Add(-1)
+	limit := time.NewTimer(configWait)
 	defer limit.Stop()
 	select {
-	case <-g.News.Configured():
+	case <-g.Cluster.Configured():
 	case <-limit.C:
 	case <-ctx.Done():
 	}
 }
 
-// open finds out what the request is about and reads its body.
-func (q *request) open() *refuse.Error {
-	m, unread := q.gate.Dialect.Read(q.r.Header)
-	q.meta = m // Even of a header that can't be read whole: its id names the request in logs.
+// prepare finds the route, the account and the pool of the request and reads its body.
+func (q *request) prepare() *refuse.Error {
+	m, headerErr := q.gate.Dialect.Read(q.r.Header)
+	q.meta = m // Set even if the header is invalid, so that log lines carry the request ID.
 	if q.view.Index == nil {
-		return refuse.New(refuse.NotReady, "no configuration yet", notReadyRetry)
+		return refuse.New(refuse.NotReady, "no configuration yet", defaultRetryAfter)
 	}
-	if most := q.view.Index.Config().Limits.HeaderBytes; most > 0 && headerSize(q.r) > most {
+	if maxHeaderBytes := q.view.Index.Config().Limits.HeaderBytes; maxHeaderBytes > 0 && headerSize(q.r) > maxHeaderBytes {
 		return refuse.New(refuse.HeaderLarge, "", 0)
 	}
 	q.route = q.view.Index.Route(q.r.Host, q.r.URL.Path)
 	if q.route == nil {
 		return refuse.New(refuse.NotFound, "no route for that host and path", 0)
 	}
-	if err := q.identify(); err != nil {
+	if err := q.authenticate(); err != nil {
 		return err
 	}
-	if unread != nil {
-		return refuse.New(refuse.BadRequest, unread.Error(), 0)
+	if headerErr != nil {
+		return refuse.New(refuse.BadRequest, headerErr.Error(), 0)
 	}
-	if q.gate.stopping(q.start, q.limit()) {
-		return refuse.New(refuse.ShuttingDown, "", stopRetry)
+	if q.gate.drainCutsOff(q.start, q.timeLimit()) {
+		return refuse.New(refuse.ShuttingDown, "", drainRetryAfter)
 	}
 	q.pool = q.route.Pool()
 	return q.readBody()
 }
 
-// headerSize is about the bytes of a request's header as it was sent.
+// headerSize estimates the size of a request's header as it was sent, in bytes.
 func headerSize(r *http.Request) int {
-	const between = len(": \r\n")
+	const separators = len(": \r\n")
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, v := range values {
-			n += len(name) + len(v) + between
+			n += len(name) + len(v) + separators
 		}
 	}
 	return n
 }
 
-// identify finds the client account by its key.
-func (q *request) identify() *refuse.Error {
+// authenticate finds the client account by its bearer key.
+func (q *request) authenticate() *refuse.Error {
 	if q.route.Public || len(q.view.Index.Config().Accounts) == 0 {
 		return nil
 	}
@@ -215,7 +218,7 @@
 	if !ok {
 		return refuse.New(refuse.BadKey, "no key", 0)
 	}
-	q.account, q.limits, ok = q.view.Index.Account(sha256.Sum256([]byte(key)))
+	q.account, q.accountConfig, ok = q.view.Index.Account(sha256.Sum256([]byte(key)))
 	if !ok {
 		return refuse.New(refuse.BadKey, "no account has that key", 0)
 	}
@@ -225,7 +228,7 @@
 func (q *request) readBody() *refuse.Error {
 	limit := q.view.Index.Config().Limits.BodyBytes
 	if limit <= 0 {
-		limit = bodyLimit
+		limit = defaultBodyLimit
 	}
 	if q.r.ContentLength > limit {
 		return refuse.New(refuse.TooLarge, "", 0)
--- a/io/gate/gate_test.go
+++ b/io/gate/gate_test.go
@@ -17,9 +17,9 @@
 	"azurelane/core/conf"
 )
 
-func TestRefusedHere(t *testing.T) {
-	u := newUpstream(t, text("ok"))
-	s := newSite(t, u)
+func TestRefusals(t *testing.T) {
+	u := newUpstream(t, respondText("ok"))
+	s := newTestGate(t, u)
 	for _, tc := range []struct {
 		name, path, key string
 		want            int
@@ -29,50 +29,50 @@
 		{"public", "/public/x", "other", http.StatusOK},
 		{"allowed", "/once/x", key, http.StatusOK},
 	} {
-		must.Eq(t, tc.want, s.ask("POST", tc.path, "Authorization", "Bearer "+tc.key).status, must.Sprint(tc.name))
+		must.Eq(t, tc.want, s.do("POST", tc.path, "Authorization", "Bearer "+tc.key).status, must.Sprint(tc.name))
 	}
 	must.Eq(t, 2, u.count())
 	s.view.Index.Config().Limits = conf.Limits{HeaderBytes: 1000, BodyBytes: 3}
-	must.Eq(t, http.StatusRequestHeaderFieldsTooLarge, s.ask("POST", "/once/x", "X-Large", strings.Repeat("x", 1000)).status)
-	must.Eq(t, http.StatusRequestEntityTooLarge, s.ask("POST", "/once/x").status)
+	must.Eq(t, http.StatusRequestHeaderFieldsTooLarge, s.do("POST", "/once/x", "X-Large", strings.Repeat("x", 1000)).status)
+	must.Eq(t, http.StatusRequestEntityTooLarge, s.do("POST", "/once/x").status)
 	must.Eq(t, 2, u.count())
 	s.view.Index = nil
-	r := s.ask("POST", "/once/x")
+	r := s.do("POST", "/once/x")
 	must.Eq(t, http.StatusServiceUnavailable, r.status)
 	must.NotEq(t, "", r.header.Get("Retry-After"))
 	must.False(t, s.Ready())
 }
 
-// The upstream gets method, path, query and body as the caller sent them, the
-// account's name, and not the key; the caller gets the upstream's answer.
+// The upstream receives method, path, query and body as the caller sent them and the account's
+// name, but not the key. The caller receives the upstream's response.
 func TestPassedOnUnchanged(t *testing.T) {
-	u := newUpstream(t, answer(http.StatusCreated, "body", "X-Own: 1\r\n"))
-	s := newSite(t, u)
-	r := s.ask("PUT", "/once/a%2Fb//c?x=%20&y")
+	u := newUpstream(t, respond(http.StatusCreated, "body", "X-Own: 1\r\n"))
+	s := newTestGate(t, u)
+	r := s.do("PUT", "/once/a%2Fb//c?x=%20&y")
 	must.Eq(t, http.StatusCreated, r.status)
 	must.Eq(t, "body", r.body)
 	must.Eq(t, "1", r.header.Get("X-Own"))
 	must.Eq(t, "m", r.header.Get(markHeader))
-	got := u.seen[0]
+	got := u.requests[0]
 	must.Eq(t, "PUT", got.Method)
 	must.Eq(t, "/once/a%2Fb//c?x=%20&y", got.RequestURI)
 	must.Eq(t, "h", got.Host)
-	must.Eq(t, "text", u.body[0])
+	must.Eq(t, "text", u.bodies[0])
 	must.Eq(t, "radio", got.Header.Get("X-Account"))
 	must.Eq(t, "up-0", got.Header.Get("X-Instance"))
 	must.Eq(t, "", got.Header.Get("Authorization"))
 }
 
-// The first upstream ends a request in every way that there is. Only when it
-// says that nothing ran, or when the request may be repeated, does the second
-// one get it; else the caller learns that it may have run.
-func TestSecondUpstream(t *testing.T) {
+// The first upstream fails in every possible way. The second one receives the request only if the
+// first states that nothing ran, or if the request may be repeated. Otherwise the caller learns
+// that the request may have run.
+func TestRetryAtSecondUpstream(t *testing.T) {
 	closes := func(_ int, _ *http.Request, w io.Writer) bool {
 		closeConn(w)
 		return false
 	}
 	cut := func(_ int, r *http.Request, w io.Writer) bool {
-		_, _ = io.WriteString(w, head(r, http.StatusOK, "Content-Length: 100\r\n\r\nhalf"))
+		_, _ = io.WriteString(w, responseHead(r, http.StatusOK, "Content-Length: 100\r\n\r\nhalf"))
 		closeConn(w)
 		return false
 	}
@@ -87,31 +87,31 @@
 	for _, tc := range []struct {
 		name        string
 		script      func(int, *http.Request, io.Writer) bool
-		once, again int  // Status on a route that may run once, and on one that may be repeated.
-		second      bool // The second upstream gets the request that may run once.
+		once, again int  // Status if the request may run once, and if it may be repeated.
+		second      bool // The second upstream receives the request that may run once.
 	}{
-		{"says that it did not run", answer(http.StatusServiceUnavailable, "", "X-Not-Run: 1\r\n"), 200, 200, true},
-		{"is another one", answer(http.StatusMisdirectedRequest, "", ""), 200, 200, true},
-		{"fails", answer(http.StatusInternalServerError, "bad", ""), 500, 200, false},
-		{"says not found", answer(http.StatusNotFound, "", ""), 404, 404, false},
+		{"says that it did not run", respond(http.StatusServiceUnavailable, "", "X-Not-Run: 1\r\n"), 200, 200, true},
+		{"is another one", respond(http.StatusMisdirectedRequest, "", ""), 200, 200, true},
+		{"fails", respond(http.StatusInternalServerError, "bad", ""), 500, 200, false},
+		{"says not found", respond(http.StatusNotFound, "", ""), 404, 404, false},
 		{"closes", closes, 502, 200, false},
 		{"cuts its answer", cut, 502, 200, false},
 		{"answers another request", foreign, 502, 200, false},
 		{"answers without its mark", unmarked, 502, 200, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			for _, way := range []struct {
+			for _, call := range []struct {
 				path string
 				want int
 			}{{"/once/x", tc.once}, {"/again/x", tc.again}} {
-				first, second := newUpstream(t, tc.script), newUpstream(t, text("ok"))
-				r := newSite(t, first, second).ask("POST", way.path, "X-Wait", "500ms")
-				must.Eq(t, way.want, r.status)
+				first, second := newUpstream(t, tc.script), newUpstream(t, respondText("ok"))
+				r := newTestGate(t, first, second).do("POST", call.path, "X-Wait", "500ms")
+				must.Eq(t, call.want, r.status)
 				must.Eq(t, 1, first.count())
-				if way.path == "/once/x" {
+				if call.path == "/once/x" {
 					must.Eq(t, tc.second, second.count() == 1)
 				}
-				if way.want == http.StatusInternalServerError {
+				if call.want == http.StatusInternalServerError {
 					must.Eq(t, "bad", r.body)
 					must.Eq(t, "m", r.header.Get(markHeader))
 				}
@@ -120,11 +120,11 @@
 	}
 }
 
-// The caller goes away while its request runs. The upstream must see its
-// connection end soon, or it works on for nobody.
+// Guards against an upstream that works on a request whose caller has gone away. The upstream must
+// see its connection end soon.
 func TestCallerLeaves(t *testing.T) {
 	u := newUpstream(t, func(int, *http.Request, io.Writer) bool { return false })
-	s := newSite(t, u)
+	s := newTestGate(t, u)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		for u.count() == 0 {
@@ -136,31 +136,32 @@
 	must.NoError(t, err)
 	r.Host = "h"
 	r.Header.Set("Authorization", "Bearer "+key)
-	_, err = http.DefaultClient.Do(r) //nolint:bodyclose // There is none.
+	_, err = http.DefaultClient.Do(r) //nolint:bodyclose // There is no body.
 	must.ErrorIs(t, err, context.Canceled)
 	select {
-	case <-u.gone:
+	case <-u.callerGone:
 	case <-time.After(400 * time.Millisecond):
 		t.Fatal("the upstream still works")
 	}
 }
 
-// An upstream is silent. A request that may be repeated goes on at another one
-// while there is time; one that may not gets its final answer at the deadline.
+// The upstream is silent. A request that may be repeated is sent to another upstream while there is
+// time. A request that may not be repeated gets its final response at the deadline.
 func TestSilentUpstream(t *testing.T) {
 	mute := func(int, *http.Request, io.Writer) bool { return false }
-	first, second := newUpstream(t, mute), newUpstream(t, text("ok"))
-	must.Eq(t, http.StatusOK, newSite(t, first, second).ask("POST", "/again/x", "X-Wait", "1s").status)
+	first, second := newUpstream(t, mute), newUpstream(t, respondText("ok"))
+	must.Eq(t, http.StatusOK, newTestGate(t, first, second).do("POST", "/again/x", "X-Wait", "1s").status)
 	u := newUpstream(t, mute)
-	s := newSite(t, u)
+	s := newTestGate(t, u)
 	var wg sync.WaitGroup
 	for i := range 50 {
 		wg.Go(func() {
 			start, id := time.Now(), strconv.Itoa(i)
-			r := s.ask("POST", "/once/x", "X-Wait", "300ms", idHeader, id)
-			must.Between(t, 250*time.Millisecond, time.Since(start), 1500*time.Millisecond, must.Sprint("not the route's time of 2 s"))
-			if r.status == http.StatusServiceUnavailable { // On a busy machine the time may be over before it is sent.
-				must.False(t, u.got(id), must.Sprint("a request that has not run"))
+			r := s.do("POST", "/once/x", "X-Wait", "300ms", idHeader, id)
+			must.Between(t, 250*time.Millisecond, time.Since(start), 1500*time.Millisecond, must.Sprint("the caller's deadline, not the route's timeout of 2 s"))
+			// On a busy machine the time may be over before the request is sent.
+			if r.status == http.StatusServiceUnavailable {
+				must.False(t, u.received(id), must.Sprint("the upstream must not have received the request"))
 				return
 			}
 			must.Eq(t, http.StatusGatewayTimeout, r.status)
@@ -169,19 +170,19 @@
 	wg.Wait()
 }
 
-// silence is a sender whose requests leave and are never answered.
-type silence struct{}
+// silentSender sends requests that never get a response.
+type silentSender struct{}
 
-func (silence) Send(ctx context.Context, _ *http.Request) (*http.Response, bool, error) {
+func (silentSender) Send(ctx context.Context, _ *http.Request) (*http.Response, bool, error) {
 	<-ctx.Done()
 	return nil, true, ctx.Err()
 }
 
-// Guards against requests that hear another reason, or hear it late, because the wait for
-// the upstream ends in the same moment as their time.
+// Guards against a wrong or late refusal when the wait for a silent upstream ends at the same
+// moment as the request's time.
 func TestSilentUpstreamAtTheDeadline(t *testing.T) {
-	s := newSite(t, newUpstream(t, text("ok")))
-	s.Sender = silence{}
+	s := newTestGate(t, newUpstream(t, respondText("ok")))
+	s.Sender = silentSender{}
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
 		for range 50 {
@@ -201,46 +202,46 @@
 	})
 }
 
-// An entry that stops still serves what may end in time, and refuses a request
-// that would be cut off. All answers ask to close the connection.
-func TestStopping(t *testing.T) {
-	u := newUpstream(t, text("ok"))
-	s := newSite(t, u)
-	s.Drain(Stop{Refuse: time.Now(), End: time.Now().Add(time.Second)})
+// A draining entry still serves requests that can finish in time, and refuses requests that would
+// be cut off. Every response asks the caller to close the connection.
+func TestDraining(t *testing.T) {
+	u := newUpstream(t, respondText("ok"))
+	s := newTestGate(t, u)
+	s.Drain(DrainSchedule{RefuseFrom: time.Now(), Deadline: time.Now().Add(time.Second)})
 	must.False(t, s.Ready())
-	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x", "X-Wait", "200ms").status)
-	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x", "X-Wait", "1500ms").status)
+	must.Eq(t, http.StatusOK, s.do("POST", "/once/x", "X-Wait", "200ms").status)
+	must.Eq(t, http.StatusServiceUnavailable, s.do("POST", "/once/x", "X-Wait", "1500ms").status)
 	must.Eq(t, 1, u.count())
 }
 
-// Everything was killed and starts again. A caller comes before the entry has a
-// configuration: it waits for that a moment and is served, and where none comes
-// it is told at once after that when to come back.
-func TestBeforeTheFirstConfiguration(t *testing.T) {
+// The whole deployment restarts and a caller connects before the entry has a configuration. The
+// request waits for the configuration for a moment and is served. If none arrives, the caller is
+// told right after that wait when to retry.
+func TestWaitForFirstConfiguration(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		comes  time.Duration
+		delay  time.Duration
 		status int
 	}{
 		{"soon", 50 * time.Millisecond, http.StatusOK},
 		{"not soon", time.Hour, http.StatusServiceUnavailable},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newSite(t, newUpstream(t, text("ok")))
-			whole := s.view.Index
+			s := newTestGate(t, newUpstream(t, respondText("ok")))
+			index := s.view.Index
 			s.view.Index, s.configured = nil, make(chan struct{})
-			comes := time.AfterFunc(tc.comes, func() {
+			timer := time.AfterFunc(tc.delay, func() {
 				s.mu.Lock()
-				s.view.Index = whole
+				s.view.Index = index
 				s.mu.Unlock()
 				close(s.configured)
 			})
-			defer comes.Stop()
+			defer timer.Stop()
 			start := time.Now()
-			r := s.ask("POST", "/once/x")
+			r := s.do("POST", "/once/x")
 			must.Eq(t, tc.status, r.status)
-			must.Less(t, 2*awaitFor, time.Since(start))
-			must.Eq(t, 0, s.early.Load())
+			must.Less(t, 2*configWait, time.Since(start))
+			must.Eq(t, 0, s.waitingForConfig.Load())
 		})
 	}
 }
--- a/io/gate/site_test.go
+++ b/io/gate/harness_test.go
@@ -38,56 +38,56 @@
 	key        = "secret"
 )
 
-// plain is a dialect of the tests' own.
-type plain struct{}
+// testDialect is the dialect of these tests.
+type testDialect struct{}
 
-func (plain) Read(h http.Header) (meta.Meta, error) {
+func (testDialect) Read(h http.Header) (meta.Meta, error) {
 	m := meta.Meta{ID: h.Get(idHeader), Prompt: 100, Answer: 100}
 	if v := h.Get("X-Wait"); v != "" {
 		d, err := time.ParseDuration(v)
 		if err != nil {
-			return m, fmt.Errorf("plain: %w", err)
+			return m, fmt.Errorf("testDialect: %w", err)
 		}
 		m.Deadline = d
 	}
 	return m, nil
 }
 
-func (plain) Forward(h http.Header) http.Header {
+func (testDialect) Forward(h http.Header) http.Header {
 	out := h.Clone()
 	out.Del("Authorization")
 	out.Del("Content-Length")
 	return out
 }
 
-func (plain) Stamp(h http.Header, hop meta.Hop) {
+func (testDialect) Stamp(h http.Header, hop meta.Hop) {
 	h.Set("X-Instance", hop.Instance)
 	h.Set("X-Account", hop.Account)
 	h.Set("X-Last", hop.LastEvent)
 	h.Set("X-Left", hop.Left.String())
 }
 
-func (plain) NotRun(r *http.Response) bool { return r.Header.Get("X-Not-Run") != "" }
+func (testDialect) NotRun(r *http.Response) bool { return r.Header.Get("X-Not-Run") != "" }
 
-func (plain) Other(r *http.Response) bool { return r.StatusCode == http.StatusMisdirectedRequest }
+func (testDialect) Other(r *http.Response) bool { return r.StatusCode == http.StatusMisdirectedRequest }
 
-func (plain) Load(*http.Response) (peers.Load, bool) {
+func (testDialect) Load(*http.Response) (peers.Load, bool) {
 	return peers.Load{}, false
 }
 
-func (plain) Limit(r *http.Response) (float64, bool) {
+func (testDialect) Limit(r *http.Response) (float64, bool) {
 	rate, err := strconv.ParseFloat(r.Header.Get("X-Limit"), 64)
 	return rate, err == nil
 }
 
-func (plain) Genuine(r *http.Response) bool { return r.Header.Get(markHeader) != "" }
+func (testDialect) Genuine(r *http.Response) bool { return r.Header.Get(markHeader) != "" }
 
-func (plain) Refuse(h http.Header, after time.Duration) {
+func (testDialect) Refuse(h http.Header, after time.Duration) {
 	h.Set("Retry-After", after.String())
 }
 
-// site is a gate over some upstreams.
-type site struct {
+// testGate is a Gate in front of test upstreams.
+type testGate struct {
 	*Gate
 	t        *testing.T
 	mu       sync.Mutex
@@ -99,52 +99,52 @@
 	srv        *httptest.Server
 }
 
-func (s *site) View() *watch.View {
+func (s *testGate) View() *watch.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.view
 	return &v
 }
 
-func (s *site) Configured() <-chan struct{} { return s.configured }
+func (s *testGate) Configured() <-chan struct{} { return s.configured }
 
-func (s *site) Doubt(context.Context) {}
+func (s *testGate) Doubt(context.Context) {}
 
-func (s *site) Replaced(id string) {
+func (s *testGate) Replaced(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replaced = append(s.replaced, id)
 }
 
-// upstream answers the n-th request that it gets, from 0, as script says; it
-// gets the raw connection, so that it can break rules.
+// upstream responds to each request by a script. The script gets the request's number, from 0, and
+// the raw connection, so that it can violate the protocol.
 type upstream struct {
 	net.Listener
-	mu   sync.Mutex
-	seen []*http.Request
-	body []string
-	gone chan struct{} // Closed when a caller's connection ended under a request.
-	once sync.Once
+	mu         sync.Mutex
+	requests   []*http.Request
+	bodies     []string
+	callerGone chan struct{} // Closed when a connection ended while its request was running.
+	once       sync.Once
 }
 
 func (u *upstream) count() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.seen)
+	return len(u.requests)
 }
 
-// got reports whether a request with an id has come.
-func (u *upstream) got(id string) bool {
+// received reports whether a request with the given ID has arrived.
+func (u *upstream) received(id string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.ContainsFunc(u.seen, func(r *http.Request) bool { return r.Header.Get(idHeader) == id })
+	return slices.ContainsFunc(u.requests, func(r *http.Request) bool { return r.Header.Get(idHeader) == id })
 }
 
 func newUpstream(t *testing.T, script func(n int, r *http.Request, w io.Writer) (keep bool)) *upstream {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	u := &upstream{Listener: ln, gone: make(chan struct{})}
+	u := &upstream{Listener: ln, callerGone: make(chan struct{})}
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
 		for {
@@ -167,39 +167,40 @@
 		}
 		body, _ := io.ReadAll(r.Body)
 		u.mu.Lock()
-		n := len(u.seen)
-		u.seen, u.body = append(u.seen, r), append(u.body, string(body))
+		n := len(u.requests)
+		u.requests, u.bodies = append(u.requests, r), append(u.bodies, string(body))
 		u.mu.Unlock()
 		if !script(n, r, c) {
 			if _, err := br.ReadByte(); err != nil {
-				u.once.Do(func() { close(u.gone) })
+				u.once.Do(func() { close(u.callerGone) })
 			}
 			return
 		}
 	}
 }
 
-// head is the header of a genuine answer to r.
-func head(r *http.Request, status int, more string) string {
+// responseHead returns the header of a genuine response to r.
+func responseHead(r *http.Request, status int, more string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: m\r\n%s", status, idHeader, r.Header.Get(idHeader), markHeader, more)
 }
 
-func text(body string) func(int, *http.Request, io.Writer) bool {
-	return answer(http.StatusOK, body, "")
+func respondText(body string) func(int, *http.Request, io.Writer) bool {
+	return respond(http.StatusOK, body, "")
 }
 
-func answer(status int, body, more string) func(int, *http.Request, io.Writer) bool {
+func respond(status int, body, more string) func(int, *http.Request, io.Writer) bool {
 	return func(_ int, r *http.Request, w io.Writer) bool {
-		_, _ = io.WriteString(w, head(r, status, more)+fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body))
+		_, _ = io.WriteString(w, responseHead(r, status, more)+fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body))
 		return true
 	}
 }
 
-// events writes some events in chunks; whole ends the stream.
-func events(r *http.Request, w io.Writer, from, to int, whole bool) {
-	_, _ = io.WriteString(w, head(r, http.StatusOK, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
-	for i := from; i <= to; i++ {
-		chunk(w, fmt.Sprintf("id: %d\ndata: %d\n\n", i, i))
+// writeEvents writes the events with the IDs from first to last, each as a chunk. If whole is set,
+// it ends the stream.
+func writeEvents(r *http.Request, w io.Writer, first, last int, whole bool) {
+	_, _ = io.WriteString(w, responseHead(r, http.StatusOK, "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"))
+	for i := first; i <= last; i++ {
+		writeChunk(w, fmt.Sprintf("id: %d\ndata: %d\n\n", i, i))
 	}
 	if whole {
 		_, _ = io.WriteString(w, "0\r\n\r\n")
@@ -212,9 +213,9 @@
 	}
 }
 
-func chunk(w io.Writer, s string) { _, _ = fmt.Fprintf(w, "%x\r\n%s\r\n", len(s), s) }
+func writeChunk(w io.Writer, s string) { _, _ = fmt.Fprintf(w, "%x\r\n%s\r\n", len(s), s) }
 
-func streamTo(to int) string {
+func eventsUpTo(to int) string {
 	var b strings.Builder
 	for i := 1; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %d\n\n", i, i)
@@ -222,7 +223,7 @@
 	return b.String()
 }
 
-func newSite(t *testing.T, ups ...*upstream) *site {
+func newTestGate(t *testing.T, ups ...*upstream) *testGate {
 	t.Helper()
 	sum := sha256.Sum256([]byte(key))
 	cfg := &conf.Config{
@@ -239,7 +240,7 @@
 		r.Host, r.Split, r.Timeout, r.Objective = "h", []route.Share{{Pool: "p", Weight: 1}}, 2*time.Second, 100*time.Millisecond
 		cfg.Routes = append(cfg.Routes, r)
 	}
-	s := &site{t: t}
+	s := &testGate{t: t}
 	s.view = watch.View{Version: 1, Index: index.New(cfg), Entries: 1, Upstreams: map[string][]*wire.Upstream{}}
 	for i, u := range ups {
 		s.view.Upstreams["p"] = append(s.view.Upstreams["p"], &wire.Upstream{
@@ -247,28 +248,28 @@
 		})
 	}
 	s.Gate = &Gate{
-		Node: "e", Incarnation: "i", Centre: "z0", News: s, Granter: s, Sender: &client.Client{Echo: idHeader}, Prober: &client.Client{}, Dialect: plain{},
-		Ratio: 1, Slack: 100, Log: logr.Discard(),
+		Node: "e", Incarnation: "i", DataCentre: "z0", Cluster: s, Granter: s, Sender: &client.Client{Echo: idHeader}, Prober: &client.Client{}, Dialect: testDialect{},
+		RetryRatio: 1, RetrySlack: 100, Log: logr.Discard(),
 	}
 	s.srv = httptest.NewServer(s.Gate)
 	t.Cleanup(s.srv.Close)
 	return s
 }
 
-func (s *site) Grant(ctx context.Context, t *wire.Ticket) (*wire.Grant, error) {
+func (s *testGate) Grant(ctx context.Context, t *wire.Ticket) (*wire.Grant, error) {
 	return s.granter.Grant(ctx, t)
 }
 
-func (s *site) Release(r *wire.Release) { s.granter.Release(r) }
+func (s *testGate) Release(r *wire.Release) { s.granter.Release(r) }
 
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	err    error // Of reading the body.
+	err    error // From reading the body.
 }
 
-func (s *site) ask(method, path string, header ...string) reply {
+func (s *testGate) do(method, path string, header ...string) reply {
 	s.t.Helper()
 	r, err := http.NewRequestWithContext(s.t.Context(), method, s.srv.URL+path, strings.NewReader("text"))
 	must.NoError(s.t, err)
@@ -287,28 +288,28 @@
 	return reply{resp.StatusCode, resp.Header, string(data), err}
 }
 
-// granterFunc is a scheduler that answers as told.
-type granterFunc struct {
+// fakeScheduler answers tickets with a function of the test.
+type fakeScheduler struct {
 	mu       sync.Mutex
 	grant    func(t *wire.Ticket) (*wire.Grant, error)
 	released []*wire.Release
 }
 
-func (g *granterFunc) Grant(_ context.Context, t *wire.Ticket) (*wire.Grant, error) {
+func (g *fakeScheduler) Grant(_ context.Context, t *wire.Ticket) (*wire.Grant, error) {
 	return g.grant(t)
 }
 
-func (g *granterFunc) Release(r *wire.Release) {
+func (g *fakeScheduler) Release(r *wire.Release) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.released = append(g.released, r)
 }
 
-func (s *site) scheduled(grant func(t *wire.Ticket) (*wire.Grant, error)) *granterFunc {
+func (s *testGate) withScheduler(grant func(t *wire.Ticket) (*wire.Grant, error)) *fakeScheduler {
 	cfg := *s.view.Index.Config()
 	cfg.Pools = map[string]pool.Pool{"p": {ByRoute: true, Slots: 4}}
 	s.view.Index, s.view.Owner = index.New(&cfg), &wire.Member{Incarnation: "owner"}
-	g := &granterFunc{grant: grant}
+	g := &fakeScheduler{grant: grant}
 	s.granter = g
 	return g
 }
--- a/io/gate/limits.go
+++ b/io/gate/limits.go
@@ -9,155 +9,160 @@
 )
 
 type (
-	// limits is what upstreams say of the requests that they take. Their scheduler
-	// brings together what all entries hear. The zero value is ready.
-	limits struct {
-		mu     sync.Mutex
-		known  map[string]*limited // By upstream.
-		told   map[string]float64  // By the scheduler, likewise.
-		unsent []*wire.Limit       // Not reported yet.
+	// rateLimits holds the request rates that upstreams announce in their responses. The scheduler
+	// merges the reports of all entries. The zero value is ready to use.
+	rateLimits struct {
+		mu    sync.Mutex
+		known map[string]*rateLimit // By upstream.
+		// fromScheduler is the scheduler's last list: requests per second by upstream.
+		fromScheduler map[string]float64
+		unreported    []*wire.Limit // Reports that have not been sent yet.
 	}
 
-	limited struct {
-		rate     float64   // Requests a second.
-		share    float64   // Part of it that this entry may use by itself.
-		sent     time.Time // When the request was sent whose answer named it.
-		heard    time.Time // When an answer here named it last; zero for none.
-		reported time.Time
+	rateLimit struct {
+		rate   float64   // Requests per second.
+		share  float64   // Fraction of the rate that this entry may use.
+		sentAt time.Time // When the request was sent whose response announced the rate.
+		// heardAt is when a response to this entry last announced the limit; zero if none did.
+		heardAt    time.Time
+		reportedAt time.Time
 	}
 )
 
 const (
-	// reportAgain is the time between two reports of the same: the scheduler's list is
-	// on its way back for less.
-	reportAgain = 250 * time.Millisecond
-	// ownFor is how long a limit that an answer here has named is kept though the
-	// scheduler does not list it.
-	ownFor = time.Second
+	// reportInterval is the minimum time between two reports about the same limit. The scheduler's
+	// updated list arrives in less time.
+	reportInterval = 250 * time.Millisecond
+	// localLimitTTL is how long this entry keeps a limit that a response announced to it although
+	// the scheduler does not list that limit.
+	localLimitTTL = time.Second
 )
 
-// limited notes what the answer to a request sent at some time says of its upstream's
-// limit.
-func (g *Gate) limited(upstream string, sent time.Time, resp *http.Response) {
-	rate, named := g.Dialect.Limit(resp)
-	if g.Dialect.Other(resp) || (!named && !g.Dialect.Genuine(resp)) {
-		return // It does not speak for the upstream.
+// recordLimit records the rate limit that a response from an upstream announces, or its absence.
+// sent is the time at which the request was sent.
+func (g *Gate) recordLimit(upstream string, sent time.Time, resp *http.Response) {
+	rate, announced := g.Dialect.Limit(resp)
+	if g.Dialect.Other(resp) || (!announced && !g.Dialect.Genuine(resp)) {
+		return // The response may not come from this upstream.
 	}
-	now, l := time.Now(), &g.limits
+	now, l := time.Now(), &g.rateLimits
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := l.known[upstream]
-	if !named {
-		g.unnamed(now, upstream, sent, k)
+	if !announced {
+		g.recordNoLimit(now, upstream, sent, k)
 		return
 	}
 	if k == nil {
-		k = &limited{share: 1 / float64(max(g.News.View().Entries, 1))} // Until the scheduler tells it.
+		// The share applies until the scheduler assigns one.
+		k = &rateLimit{share: 1 / float64(max(g.Cluster.View().Entries, 1))}
 		if l.known == nil {
-			l.known = map[string]*limited{}
+			l.known = map[string]*rateLimit{}
 		}
 		l.known[upstream] = k
 	}
-	k.heard = now
-	if k.sent.After(sent) {
-		return // An answer to a later request has told more.
+	k.heardAt = now
+	if k.sentAt.After(sent) {
+		return // The response to a later request is more recent.
 	}
-	changed := k.sent.IsZero() || k.rate != rate
-	k.rate, k.sent = rate, sent
+	changed := k.sentAt.IsZero() || k.rate != rate
+	k.rate, k.sentAt = rate, sent
 	if changed {
-		g.Log.Info("Upstream limits its requests.", "upstream", upstream, "per-second", rate)
-		g.limitPeer(now, upstream, k)
+		g.Log.Info("Upstream announced a request rate limit.", "upstream", upstream, "per-second", rate)
+		g.applyLimit(now, upstream, k)
 	}
-	if told, ok := l.told[upstream]; (!ok || told != rate) && (changed || now.Sub(k.reported) > reportAgain) {
-		k.reported = now
-		g.reportLimit(&wire.Limit{Upstream: upstream, PerSecond: rate, AgeUs: now.Sub(sent).Microseconds()})
+	if listed, ok := l.fromScheduler[upstream]; (!ok || listed != rate) && (changed || now.Sub(k.reportedAt) > reportInterval) {
+		k.reportedAt = now
+		g.queueLimitReport(&wire.Limit{Upstream: upstream, PerSecond: rate, AgeUs: now.Sub(sent).Microseconds()})
 	}
 }
 
-// unnamed notes an answer without a limit. It ends one if its request was sent after the
-// last answer that named it. The lock is held.
-func (g *Gate) unnamed(now time.Time, upstream string, sent time.Time, k *limited) {
-	if k == nil || !sent.After(k.heard) || !sent.After(k.sent) || now.Sub(k.reported) < reportAgain {
+// recordNoLimit handles a response that announces no limit. It ends a known limit only if its
+// request was sent after the last response that announced the limit had arrived. While a scheduler
+// is known, the limit stays in force until the scheduler drops it. g.rateLimits.mu must be held.
+func (g *Gate) recordNoLimit(now time.Time, upstream string, sent time.Time, k *rateLimit) {
+	if k == nil || !sent.After(k.heardAt) || !sent.After(k.sentAt) || now.Sub(k.reportedAt) < reportInterval {
 		return
 	}
-	k.reported = now
-	g.reportLimit(&wire.Limit{Upstream: upstream, Ended: true, AgeUs: now.Sub(sent).Microseconds()})
-	if g.News.View().Owner == nil {
-		g.unlimit(upstream)
+	k.reportedAt = now
+	g.queueLimitReport(&wire.Limit{Upstream: upstream, Ended: true, AgeUs: now.Sub(sent).Microseconds()})
+	if g.Cluster.View().Owner == nil {
+		g.removeLimit(upstream)
 	}
 }
 
-// reportLimit queues a report. The lock is held.
-func (g *Gate) reportLimit(l *wire.Limit) {
-	g.limits.unsent = append(g.limits.unsent, l)
-	g.reports.notify()
+// queueLimitReport queues a report for the scheduler. g.rateLimits.mu must be held.
+func (g *Gate) queueLimitReport(l *wire.Limit) {
+	g.rateLimits.unreported = append(g.rateLimits.unreported, l)
+	g.reportSignal.notify()
 }
 
-// unlimit forgets a limit. The lock is held.
-func (g *Gate) unlimit(upstream string) {
-	delete(g.limits.known, upstream)
+// removeLimit removes an upstream's limit. g.rateLimits.mu must be held.
+func (g *Gate) removeLimit(upstream string) {
+	delete(g.rateLimits.known, upstream)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.peers.Unlimit(upstream)
-	g.Log.Info("Upstream no longer limits its requests.", "upstream", upstream)
+	g.Log.Info("Upstream's request rate limit ended.", "upstream", upstream)
 }
 
-func (g *Gate) limitPeer(now time.Time, upstream string, k *limited) {
+func (g *Gate) applyLimit(now time.Time, upstream string, k *rateLimit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.peers.Limit(now, upstream, k.rate, k.share)
 }
 
-// Limited takes the scheduler's list, with this entry's shares.
-func (g *Gate) Limited(list []*wire.Limit) {
-	now, l := time.Now(), &g.limits
+// SetLimits applies the scheduler's list of limits, which contains this entry's shares.
+func (g *Gate) SetLimits(list []*wire.Limit) {
+	now, l := time.Now(), &g.rateLimits
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told = make(map[string]float64, len(list))
+	l.fromScheduler = make(map[string]float64, len(list))
 	if l.known == nil {
-		l.known = map[string]*limited{}
+		l.known = map[string]*rateLimit{}
 	}
 	for _, t := range list {
 		id, sent := t.GetUpstream(), now.Add(-time.Duration(t.GetAgeUs())*time.Microsecond)
-		l.told[id] = t.GetPerSecond()
+		l.fromScheduler[id] = t.GetPerSecond()
 		k := l.known[id]
 		if k == nil {
-			k = &limited{}
+			k = &rateLimit{}
 			l.known[id] = k
 		}
-		if !k.sent.After(sent) {
-			k.rate, k.sent = t.GetPerSecond(), sent
+		if !k.sentAt.After(sent) {
+			k.rate, k.sentAt = t.GetPerSecond(), sent
 		}
 		if !t.GetKeepShare() {
 			k.share = t.GetShare()
 		}
-		g.limitPeer(now, id, k)
+		g.applyLimit(now, id, k)
 	}
 	for id, k := range l.known {
-		if _, ok := l.told[id]; !ok && now.Sub(k.heard) > ownFor {
-			g.unlimit(id)
+		if _, ok := l.fromScheduler[id]; !ok && now.Sub(k.heardAt) > localLimitTTL {
+			g.removeLimit(id)
 		}
 	}
 }
 
-// Limits is all that this entry knows, for a scheduler that is new to it.
-func (g *Gate) Limits() []*wire.Limit {
-	now, l := time.Now(), &g.limits
+// KnownLimits returns all limits that this entry knows, for a scheduler that it has not reported to
+// before.
+func (g *Gate) KnownLimits() []*wire.Limit {
+	now, l := time.Now(), &g.rateLimits
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	list := make([]*wire.Limit, 0, len(l.known))
 	for id, k := range l.known {
-		list = append(list, &wire.Limit{Upstream: id, PerSecond: k.rate, AgeUs: now.Sub(k.sent).Microseconds()})
+		list = append(list, &wire.Limit{Upstream: id, PerSecond: k.rate, AgeUs: now.Sub(k.sentAt).Microseconds()})
 	}
 	return list
 }
 
-// NewLimits takes what is to be reported.
-func (g *Gate) NewLimits() []*wire.Limit {
-	l := &g.limits
+// TakeLimitReports returns the queued reports and clears the queue.
+func (g *Gate) TakeLimitReports() []*wire.Limit {
+	l := &g.rateLimits
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := l.unsent
-	l.unsent = nil
+	list := l.unreported
+	l.unreported = nil
 	return list
 }
--- a/io/gate/place.go
+++ b/io/gate/place.go
@@ -15,137 +15,138 @@
 )
 
 const (
-	// doubtAfter is how long a ticket waits before the scheduler is asked whether
-	// it lives. Most tickets are decided within milliseconds.
-	doubtAfter = 60 * time.Millisecond
-	// aloneShare is by how much the entries may together give an engine more
-	// than its batch while each of them places requests by itself.
-	aloneShare = 1.5
-	// aloneWait is how long a request waits for room while no scheduler answers,
-	// and aloneWaitPart the part of its objective, one in so many, if that is less.
-	// Another scheduler is there within half a second. When one was lost, all that
-	// waited for it was refused in the same instant.
-	aloneWait     = 500 * time.Millisecond
-	aloneWaitPart = 2
-	aloneLook     = 15 * time.Millisecond // Between two looks.
-	// schedulerWait is how long a request waits for another scheduler before this
-	// entry places it by itself, at an upstream of which it knows little. One of this
-	// data centre is found within that time where the rest is cut off, and so are most
-	// new leaders.
+	// livenessCheckAfter is how long a ticket waits before the entry checks whether the scheduler
+	// is alive. Most tickets are decided within milliseconds.
+	livenessCheckAfter = 60 * time.Millisecond
+	// localOvercommit is the factor by which all entries together may exceed an engine's batch size
+	// while each entry places requests without a scheduler.
+	localOvercommit = 1.5
+	// maxLocalWait is the longest time that a request waits for a scheduler or for capacity while
+	// no scheduler answers. A request waits for at most 1/localWaitDivisor of the time left until
+	// its objective. A new scheduler is usually known within half a second. Without the wait, all
+	// requests that were waiting at a lost scheduler would be refused at the same instant.
+	maxLocalWait      = 500 * time.Millisecond
+	localWaitDivisor  = 2
+	localPollInterval = 15 * time.Millisecond // Between two checks for a scheduler or for capacity.
+	// schedulerWait is how long a request waits for another scheduler before this entry places the
+	// request itself, with little knowledge of the upstreams. A data centre that is cut off from
+	// the others finds its own scheduler within this time, and most newly elected leaders are found
+	// within it too.
 	schedulerWait = 150 * time.Millisecond
-	// budgetPart is the part of the deployment's bound on second sends that
-	// entries use, so that uneven shares stay within it.
-	budgetPart = 0.7
-	// leastBurst is what an entry may always send again at once.
-	leastBurst   = 2
-	longestRetry = 4 * time.Second        // What callers are told at most.
-	aloneRetry   = 700 * time.Millisecond // What callers are told while entries place requests by themselves.
+	// budgetFraction is the fraction of the deployment's retry limit that entries use, so that
+	// retries stay within the limit when the requests are unevenly spread over the entries.
+	budgetFraction = 0.7
+	// minRetryBurst is the number of retries that an entry may always make at once.
+	minRetryBurst   = 2
+	maxRetryAfter   = 4 * time.Second        // Longest Retry-After for a rate limit.
+	localRetryAfter = 700 * time.Millisecond // Retry-After while this entry places requests itself.
 )
 
-// place is leave to send a request to one upstream.
-type place struct {
-	q      *request
-	up     *wire.Upstream
-	ticket *wire.Ticket
-	grant  *wire.Grant // Nil when this entry chose by itself.
+// placement is the permission to send a request to one upstream.
+type placement struct {
+	request  *request
+	upstream *wire.Upstream
+	ticket   *wire.Ticket
+	grant    *wire.Grant // Nil if this entry chose the upstream itself.
 }
 
-// place finds an upstream for the request. While no scheduler answers, one that
-// finds no room waits a moment.
-func (q *request) place(ctx context.Context) (*place, error) {
+// place finds an upstream for the request. While no scheduler answers, a request that finds no
+// capacity polls for it until placementWait has passed.
+func (q *request) place(ctx context.Context) (*placement, error) {
 	var until time.Time
-	held := false
+	waited := false
 	for {
-		q.view = q.gate.News.View()
+		q.view = q.gate.Cluster.View()
 		pool := q.view.Index.Pool(q.pool)
 		if pool.Slots > 0 && q.view.Owner != nil {
-			p, err := q.granted(ctx)
+			p, err := q.requestGrant(ctx)
 			if !errors.Is(err, grant.ErrNoOwner) {
 				return p, err
 			}
-			q.view = q.gate.News.View()
+			q.view = q.gate.Cluster.View()
 		}
-		if pool.Slots > 0 && !held {
-			held = true
+		if pool.Slots > 0 && !waited {
+			waited = true
 			if q.awaitScheduler(ctx) {
 				continue
 			}
 		}
-		p, err := q.choose(ctx, pool.Slots)
+		p, err := q.placeLocally(ctx, pool.Slots)
 		if err == nil || pool.Slots == 0 {
 			return p, err
 		}
 		if until.IsZero() {
-			until = time.Now().Add(q.patient())
+			until = time.Now().Add(q.placementWait())
 		}
-		if !q.lookAgain(ctx, until) {
+		if !q.pollWait(ctx, until) {
 			return nil, err
 		}
 	}
 }
 
-// awaitScheduler waits a moment for a scheduler and reports whether there is one.
+// awaitScheduler waits up to schedulerWait for a scheduler and reports whether one is known.
 func (q *request) awaitScheduler(ctx context.Context) bool {
-	until := time.Now().Add(min(schedulerWait, q.patient()))
-	for q.gate.News.View().Owner == nil {
-		if !q.lookAgain(ctx, until) {
+	until := time.Now().Add(min(schedulerWait, q.placementWait()))
+	for q.gate.Cluster.View().Owner == nil {
+		if !q.pollWait(ctx, until) {
 			return false
 		}
 	}
 	return true
 }
 
-// patient is how long the request waits for a scheduler or for room.
-func (q *request) patient() time.Duration {
-	return min(aloneWait, (q.route.Objective-q.before-time.Since(q.start))/aloneWaitPart)
+// placementWait returns how long the request may wait for a scheduler or for capacity.
+func (q *request) placementWait() time.Duration {
+	return min(maxLocalWait, (q.route.Objective-q.sinceFirstTry-time.Since(q.start))/localWaitDivisor)
 }
 
-// lookAgain lets a moment pass and reports whether the request may look again.
-func (q *request) lookAgain(ctx context.Context, until time.Time) bool {
+// pollWait waits for localPollInterval, or until the given time if that is sooner. It reports
+// whether the request may poll again.
+func (q *request) pollWait(ctx context.Context, until time.Time) bool {
 	left := time.Until(until)
 	if left <= 0 {
 		return false
 	}
-	look := time.NewTimer(min(left, aloneLook))
-	defer look.Stop()
+	timer := time.NewTimer(min(left, localPollInterval))
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-look.C:
+	case <-timer.C:
 		return true
 	}
 }
 
-// granted asks the scheduler.
-func (q *request) granted(ctx context.Context) (*place, error) {
+// requestGrant asks the scheduler for a slot.
+func (q *request) requestGrant(ctx context.Context) (*placement, error) {
 	t := q.ticket()
-	var doubt *time.Timer
-	doubt = time.AfterFunc(doubtAfter, func() {
-		q.gate.News.Doubt(ctx)
-		doubt.Reset(doubtAfter)
+	var livenessCheck *time.Timer
+	livenessCheck = time.AfterFunc(livenessCheckAfter, func() {
+		q.gate.Cluster.Doubt(ctx)
+		livenessCheck.Reset(livenessCheckAfter)
 	})
 	g, err := q.gate.Granter.Grant(ctx, t)
-	doubt.Stop()
+	livenessCheck.Stop()
 	if err != nil {
 		return nil, err
 	}
 	q.gate.mu.Lock()
-	q.gate.allowed(time.Now(), q, true)
+	q.gate.chargeAccount(time.Now(), q, true)
 	q.gate.mu.Unlock()
-	return &place{q: q, ticket: t, grant: g, up: &wire.Upstream{Id: g.GetUpstream(), Address: g.GetAddress()}}, nil
+	return &placement{request: q, ticket: t, grant: g, upstream: &wire.Upstream{Id: g.GetUpstream(), Address: g.GetAddress()}}, nil
 }
 
-// choose takes the upstream that looks best from here.
-func (q *request) choose(ctx context.Context, slots int64) (*place, error) {
+// placeLocally picks the best upstream by this entry's own observations.
+func (q *request) placeLocally(ctx context.Context, slots int64) (*placement, error) {
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
 	g, now := q.gate, time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c := peers.Choice{Self: g.Node, Centre: g.Centre, Avoid: q.avoid, Silent: q.view.Silent, Unreached: q.view.Unreached, Isolated: q.view.Isolated}
+	c := peers.Choice{Self: g.Node, Centre: g.DataCentre, Avoid: q.avoid, Silent: q.view.Silent, Unreached: q.view.Unreached, Isolated: q.view.Isolated}
 	if slots > 0 {
-		c.Most = max(int(aloneShare*float64(slots)/float64(max(q.view.Entries, 1))), 1)
+		c.Most = max(int(localOvercommit*float64(slots)/float64(max(q.view.Entries, 1))), 1)
 	}
 	u := g.peers.Pick(now, q.view.Upstreams[q.pool], c)
 	if u == nil {
@@ -153,116 +154,117 @@
 		if slots > 0 {
 			code = refuse.Overloaded
 		}
-		after := aloneRetry
+		after := localRetryAfter
 		if wait := g.peers.Wait(now, q.view.Upstreams[q.pool]); wait > after {
-			code, after = refuse.Overloaded, min(wait, longestRetry)
+			code, after = refuse.Overloaded, min(wait, maxRetryAfter)
 		}
 		return nil, refuse.New(code, "no upstream with room is known here", after)
 	}
-	// Only what finds room counts against its account: a request that looks again
-	// and again would use up the account's rate by itself.
-	if wait, ok := g.allowed(now, q, false); !ok {
+	// Charge the account only once an upstream was found: otherwise a request that polls repeatedly
+	// would use up the account's rate by itself.
+	if wait, ok := g.chargeAccount(now, q, false); !ok {
 		return nil, refuse.New(refuse.AccountLimit, "", wait)
 	}
 	g.peers.Begin(now, u.GetId())
-	return &place{q: q, up: u}, nil
+	return &placement{request: q, upstream: u}, nil
 }
 
-// told notes what an upstream says of its load.
-func (g *Gate) told(id string, l peers.Load) {
+// recordLoad records the load that an upstream reports.
+func (g *Gate) recordLoad(id string, l peers.Load) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.peers.Told(time.Now(), id, l)
 }
 
-// done gives the place back with what the run was like.
-func (p *place) done(res result) {
-	g := p.q.gate
-	if res.end == other {
-		g.News.Replaced(p.up.GetId())
+// release records the result of the send and returns the slot to the scheduler, if one granted it.
+func (p *placement) release(res result) {
+	g := p.request.gate
+	if res.outcome == outcomeMisdirected {
+		g.Cluster.Replaced(p.upstream.GetId())
 	}
-	g.learn(p, res)
+	g.recordOutcome(p, res)
 	if p.grant == nil {
 		return
 	}
 	t := p.ticket
 	g.Granter.Release(&wire.Release{
-		Ticket: t.GetId(), Entry: t.GetEntry(), Incarnation: t.GetIncarnation(), Pool: t.GetPool(), Upstream: p.up.GetId(),
-		Slot: p.grant.GetSlot(), Owner: p.grant.GetOwner(), Account: t.GetAccount(), Dispatched: res.end != unsent && res.end != other && res.end != unused,
-		Whole: res.end == whole, Failed: res.end == failed || res.end == broken || res.end == unsent || res.end == other, Busy: res.end == busy,
+		Ticket: t.GetId(), Entry: t.GetEntry(), Incarnation: t.GetIncarnation(), Pool: t.GetPool(), Upstream: p.upstream.GetId(),
+		Slot: p.grant.GetSlot(), Owner: p.grant.GetOwner(), Account: t.GetAccount(), Dispatched: res.outcome != outcomeNotSent && res.outcome != outcomeMisdirected && res.outcome != outcomeUnused,
+		Whole: res.outcome == outcomeComplete, Failed: res.outcome == outcomeFailed || res.outcome == outcomeInterrupted || res.outcome == outcomeNotSent || res.outcome == outcomeMisdirected, Busy: res.outcome == outcomeNotRun,
 		FirstTokenUs: res.first.Microseconds(), TotalUs: res.total.Microseconds(), Pieces: res.events,
 		GapUs: res.gap.Microseconds(),
 	})
 }
 
-// learn notes what a send shows of its upstream and of the way there. What runs
-// under a grant is counted where it was granted.
-func (g *Gate) learn(p *place, res result) {
+// recordOutcome updates the entry's knowledge of an upstream, and of the network path to it, by the
+// result of a send. The scheduler keeps track of sends that it granted.
+func (g *Gate) recordOutcome(p *placement, res result) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
-	switch u := p.q.view.Upstream(p.up.GetId()); {
-	case u == nil: // It has left meanwhile.
+	switch u := p.request.view.Upstream(p.upstream.GetId()); {
+	case u == nil: // It has left the deployment since.
 	case res.status != 0:
 		g.peers.Reached(u)
-	case res.missed():
+	case res.unresponsive():
 		g.peers.Missed(now, u)
 	}
 	if p.grant != nil {
 		return
 	}
-	switch res.end {
-	case busy, other, left, unused:
-		g.peers.Drop(p.up.GetId())
-	case whole, failed:
-		g.peers.End(now, p.up.GetId(), res.total, true, res.end == whole)
-	case unsent, broken:
-		g.peers.End(now, p.up.GetId(), res.total, false, false)
+	switch res.outcome {
+	case outcomeNotRun, outcomeMisdirected, outcomeCallerLeft, outcomeUnused:
+		g.peers.Drop(p.upstream.GetId())
+	case outcomeComplete, outcomeFailed:
+		g.peers.End(now, p.upstream.GetId(), res.total, true, res.outcome == outcomeComplete)
+	case outcomeNotSent, outcomeInterrupted:
+		g.peers.End(now, p.upstream.GetId(), res.total, false, false)
 	}
 }
 
-// first counts a request's first send, and tells how long ago its caller first
-// tried.
-func (g *Gate) first(q *request) {
+// countFirstSend adds a request's first send to the retry budget and estimates how long ago its
+// caller first tried.
+func (g *Gate) countFirstSend(q *request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.before == nil {
-		g.before, g.budgets = map[string]*before.Before{}, map[string]*budget.Budget{}
+	if g.retryAges == nil {
+		g.retryAges, g.budgets = map[string]*before.Before{}, map[string]*budget.Budget{}
 	}
 	if q.meta.Deadline > 0 {
-		if g.before[q.route.Name] == nil {
-			g.before[q.route.Name] = &before.Before{}
+		if g.retryAges[q.route.Name] == nil {
+			g.retryAges[q.route.Name] = &before.Before{}
 		}
-		q.before = g.before[q.route.Name].Add(q.meta.Deadline)
+		q.sinceFirstTry = g.retryAges[q.route.Name].Add(q.meta.Deadline)
 	}
 	b := g.budgets[q.pool]
 	if b == nil {
-		b = &budget.Budget{Ratio: budgetPart * g.Ratio}
+		b = &budget.Budget{Ratio: budgetFraction * g.RetryRatio}
 		g.budgets[q.pool] = b
 	}
-	b.Burst = max(budgetPart*g.Slack/float64(max(q.view.Entries, 1)), leastBurst)
+	b.Burst = max(budgetFraction*g.RetrySlack/float64(max(q.view.Entries, 1)), minRetryBurst)
 	b.Add()
 }
 
-// spend reports whether a request may be sent to a second upstream of a pool.
-func (g *Gate) spend(pool string) bool {
+// takeRetry takes a retry from a pool's budget and reports whether the budget allowed it.
+func (g *Gate) takeRetry(pool string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := g.budgets[pool]
 	return b != nil && b.Take()
 }
 
-// Usage takes what was served without asking a scheduler since the last call.
-func (g *Gate) Usage() *wire.Usage {
+// TakeUsage returns the usage since the last call that no scheduler has seen, or nil if there was
+// none.
+func (g *Gate) TakeUsage() *wire.Usage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.usage) == 0 {
+	if len(g.unreportedUsage) == 0 {
 		return nil
 	}
 	u := &wire.Usage{Incarnation: g.Incarnation}
-	for a, n := range g.usage {
+	for a, n := range g.unreportedUsage {
 		u.Accounts = append(u.Accounts, &wire.AccountUsage{Account: a, Units: n})
 	}
-	g.usage = nil
+	g.unreportedUsage = nil
 	return u
 }
--- a/io/gate/reports.go
+++ b/io/gate/reports.go
@@ -2,23 +2,24 @@
 
 import "sync"
 
-// reports signals that there is something to tell the scheduler. The zero value is ready.
-type reports struct {
-	once sync.Once // Makes wake.
+// reportSignal signals that reports for the scheduler are queued. The zero value is ready to use.
+type reportSignal struct {
+	once sync.Once // Creates wake.
 	wake chan struct{}
 }
 
-// Reports signals that Suspects or NewLimits has something to take.
-func (g *Gate) Reports() <-chan struct{} { return g.reports.signal() }
+// ReportsPending returns a channel that receives a value when TakeCrashReports or TakeLimitReports
+// has reports to return.
+func (g *Gate) ReportsPending() <-chan struct{} { return g.reportSignal.channel() }
 
-func (r *reports) signal() chan struct{} {
+func (r *reportSignal) channel() chan struct{} {
 	r.once.Do(func() { r.wake = make(chan struct{}, 1) })
 	return r.wake
 }
 
-func (r *reports) notify() {
+func (r *reportSignal) notify() {
 	select {
-	case r.signal() <- struct{}{}:
-	default: // A signal is on its way already.
+	case r.channel() <- struct{}{}:
+	default: // A signal is already pending.
 	}
 }
--- a/io/gate/request.go
+++ b/io/gate/request.go
@@ -20,246 +20,246 @@
 )
 
 type (
-	// request is one attempt of a caller.
+	// request is one attempt of a caller, with all sends to upstreams that it takes.
 	request struct {
-		gate    *Gate
-		w       http.ResponseWriter
-		r       *http.Request
-		start   time.Time
-		view    *watch.View
-		route   *route.Route
-		pool    string
-		account string
-		limits  acct.Account
-		meta    meta.Meta
-		body    []byte
-		before  time.Duration // How long ago the caller first tried.
-
-		avoid  []string // Upstreams that failed it.
-		sends  int
-		ran    int    // Upstreams that may have run it.
-		begun  bool   // The answer's header has left.
-		last   string // Last event that has left.
-		events int64
-		began  time.Duration // From the arrival to the first event.
-		gap    time.Duration // Longest pause between two events, over all sends.
-		left   time.Time     // When the last event left.
-		hash   *digest.Digest
-		trying bool // It is banned, and may be sent once.
+		gate          *Gate
+		w             http.ResponseWriter
+		r             *http.Request
+		start         time.Time
+		view          *watch.View
+		route         *route.Route
+		pool          string
+		account       string
+		accountConfig acct.Account
+		meta          meta.Meta
+		body          []byte
+		sinceFirstTry time.Duration // Estimated time since the caller first tried.
+
+		avoid           []string // Upstreams that already failed the request.
+		sends           int
+		runs            int    // Sends that an upstream may have run.
+		headerSent      bool   // The header of the response has been written.
+		lastEventID     string // ID of the last event written to the caller.
+		events          int64
+		firstEventAfter time.Duration // From the arrival of the request until its first event was written.
+		gap             time.Duration // Longest pause between two events, over all sends.
+		lastEventAt     time.Time     // When the last event was written.
+		cachedDigest    *digest.Digest
+		banTrial        bool // The request is banned and may be sent once as a trial.
 	}
 
-	// result is how one send ended.
+	// result describes how one send ended.
 	result struct {
-		end    ending
-		status int
-		keep   *kept         // An upstream's failure to pass on if no other send does better.
-		first  time.Duration // From the send to the first event, or to the whole answer.
-		gap    time.Duration // Longest pause between two events.
-		total  time.Duration
-		events int64
-		err    error
+		outcome outcome
+		status  int
+		failure *bufferedResponse // Upstream's error response, passed on if no other send does better.
+		first   time.Duration     // From the send to the first event, or to the complete response.
+		gap     time.Duration     // Longest pause between two events.
+		total   time.Duration
+		events  int64
+		err     error
 	}
 
-	ending int
+	outcome int
 )
 
-// missed reports whether the upstream, or the way to it, gave no sign of life: no
-// connection came about, or nothing was heard for as long as the send waited.
-func (r *result) missed() bool {
-	return r.end == unsent || (r.status == 0 && (errors.Is(r.err, errQuiet) || errors.Is(r.err, errDeadline)))
+// unresponsive reports whether there was no sign of life from the upstream or the network path to
+// it: no connection was established, or nothing was received for as long as the send waited.
+func (r *result) unresponsive() bool {
+	return r.outcome == outcomeNotSent || (r.status == 0 && (errors.Is(r.err, errSilent) || errors.Is(r.err, errDeadline)))
 }
 
-// How a send can end.
+// Outcomes of a send.
 const (
-	whole  ending = iota // The caller has the whole answer.
-	unsent               // No byte has left.
-	busy                 // The upstream did not run it.
-	other                // Another upstream has the address; nothing ran.
-	failed               // The upstream ran it and answered with a failure.
-	broken               // It may have run, and there is no whole answer.
-	left                 // The caller went away.
-	unused               // It was not sent after all.
+	outcomeComplete    outcome = iota // The caller has the complete response.
+	outcomeNotSent                    // No byte was sent.
+	outcomeNotRun                     // The upstream did not run the request.
+	outcomeMisdirected                // Another upstream now has the address; nothing ran.
+	outcomeFailed                     // The upstream ran the request and returned an error.
+	outcomeInterrupted                // The request may have run, and there is no complete response.
+	outcomeCallerLeft                 // The caller went away.
+	outcomeUnused                     // The request was not sent after all.
 )
 
-// String names an ending in logs.
-func (e ending) String() string {
+// String returns the name of the outcome in logs.
+func (e outcome) String() string {
 	return [...]string{"whole", "unsent", "busy", "other-upstream", "failed", "broken", "caller-left", "unused"}[e]
 }
 
 var (
 	errDeadline = errors.New("gate: the time is over")
-	errQuiet    = errors.New("gate: upstream silent")
+	errSilent   = errors.New("gate: upstream silent")
 )
 
 const (
-	// maxSends bounds the sends of one request, those that reached nobody among
-	// them.
+	// maxSends bounds the sends of one request, including those that reached no upstream.
 	maxSends = 6
-	// answerMargin is how long before the caller's deadline it gets its final
-	// answer: the way to it takes some milliseconds.
+	// answerMargin is how long before the caller's deadline the final response is due: it takes
+	// some milliseconds to reach the caller.
 	answerMargin = 15 * time.Millisecond
-	// leastTime is the time below which a send is no use.
-	leastTime = 5 * time.Millisecond
+	// minSendTime is the remaining time below which a send is pointless.
+	minSendTime = 5 * time.Millisecond
 )
 
-// serve sends the request until one send ends it.
+// serve sends the request until one send yields the final response.
 func (q *request) serve() {
-	ctx, cancel := context.WithTimeoutCause(q.r.Context(), q.limit(), errDeadline)
+	ctx, cancel := context.WithTimeoutCause(q.r.Context(), q.timeLimit(), errDeadline)
 	defer cancel()
-	q.gate.first(q)
+	q.gate.countFirstSend(q)
 	for {
-		p, err := q.placed(ctx)
+		p, err := q.placeUnlessBanned(ctx)
 		if err != nil {
-			q.unplaced(ctx, err)
+			q.failPlacement(ctx, err)
 			return
 		}
 		res := q.send(ctx, p)
-		p.done(res)
-		q.suspect(p, res)
-		if !q.again(ctx, p, res) {
-			q.end(ctx, res)
+		p.release(res)
+		q.checkCrash(p, res)
+		if !q.prepareRetry(ctx, p, res) {
+			q.finish(ctx, res)
 			return
 		}
 	}
 }
 
-// placed finds an upstream for a request that is not banned, also not since it began to
-// wait.
-func (q *request) placed(ctx context.Context) (*place, error) {
-	q.trying = false
-	if no := q.refusedAs(ctx); no != nil {
-		return nil, no
+// placeUnlessBanned finds an upstream for a request that is not banned. It checks for a ban again
+// after the wait for the upstream.
+func (q *request) placeUnlessBanned(ctx context.Context) (*placement, error) {
+	q.banTrial = false
+	if refusal := q.banRefusal(ctx); refusal != nil {
+		return nil, refusal
 	}
 	p, err := q.place(ctx)
-	if err != nil || q.trying {
+	if err != nil || q.banTrial {
 		return p, err
 	}
-	if no := q.refusedAs(ctx); no != nil {
-		p.done(result{end: unused})
-		return nil, no
+	if refusal := q.banRefusal(ctx); refusal != nil {
+		p.release(result{outcome: outcomeUnused})
+		return nil, refusal
 	}
 	return p, nil
 }
 
-// limit is the time until the final answer.
-func (q *request) limit() time.Duration {
+// timeLimit returns the time from the request's arrival until its final response is due.
+func (q *request) timeLimit() time.Duration {
 	d := q.route.Timeout
 	if q.meta.Deadline > 0 && q.meta.Deadline < d {
 		d = q.meta.Deadline
 	}
-	return max(d-answerMargin, leastTime)
+	return max(d-answerMargin, minSendTime)
 }
 
-// remains is the time until the final answer.
-func (q *request) remains() time.Duration { return q.limit() - time.Since(q.start) }
+// remaining returns the time left until the final response is due.
+func (q *request) remaining() time.Duration { return q.timeLimit() - time.Since(q.start) }
 
-// over reports whether the request's time is over. The wait for a silent
-// upstream may end in the same moment and be the first to end the send.
-func (q *request) over(ctx context.Context) bool {
-	return errors.Is(context.Cause(ctx), errDeadline) || q.remains() < leastTime
+// expired reports whether the request's time is over. It also checks the clock, because the timer
+// for a silent upstream may fire at the same moment as the deadline and end the send first.
+func (q *request) expired(ctx context.Context) bool {
+	return errors.Is(context.Cause(ctx), errDeadline) || q.remaining() < minSendTime
 }
 
-// again reports whether the request may be sent once more after a send that
-// ended so.
-func (q *request) again(ctx context.Context, p *place, res result) bool {
-	switch res.end {
-	case whole, left:
+// prepareRetry records a send that has ended and reports whether the request may be sent again. The
+// retry counts against the budget unless the ended send sent nothing.
+func (q *request) prepareRetry(ctx context.Context, p *placement, res result) bool {
+	switch res.outcome {
+	case outcomeComplete, outcomeCallerLeft:
 		return false
-	case failed, broken:
-		q.ran++
-		if !q.route.Repeatable() || q.ran >= q.route.Most() {
+	case outcomeFailed, outcomeInterrupted:
+		q.runs++
+		if !q.route.Repeatable() || q.runs >= q.route.Most() {
 			return false
 		}
-	case unsent, busy, other, unused:
+	case outcomeNotSent, outcomeNotRun, outcomeMisdirected, outcomeUnused:
 	}
-	q.avoid = append(q.avoid, p.up.GetId())
+	q.avoid = append(q.avoid, p.upstream.GetId())
 	q.sends++
-	if q.sends >= maxSends || ctx.Err() != nil || q.remains() < leastTime {
+	if q.sends >= maxSends || ctx.Err() != nil || q.remaining() < minSendTime {
 		return false
 	}
-	if res.end == unsent {
-		return true // It is no second arrival anywhere.
+	if res.outcome == outcomeNotSent {
+		return true // No upstream received the request, so a retry adds no load.
 	}
-	return q.gate.spend(q.pool)
+	return q.gate.takeRetry(q.pool)
 }
 
-// unplaced answers a request for which there is no place.
-func (q *request) unplaced(ctx context.Context, err error) {
-	var no *refuse.Error
+// failPlacement ends a request for which no upstream was found.
+func (q *request) failPlacement(ctx context.Context, err error) {
+	var refusal *refuse.Error
 	switch {
 	case q.r.Context().Err() != nil:
 		q.abort("caller left", err)
-	case q.begun:
-		q.abort("no upstream to go on at", err)
-	case q.ran > 0:
+	case q.headerSent:
+		q.abort("no upstream left to resume the stream", err)
+	case q.runs > 0:
 		q.refuse(refuse.New(refuse.UpstreamLost, "no upstream for another send", 0))
-	case errors.As(err, &no) && no.Code == refuse.NoUpstream && q.sends > 0:
-		q.refuse(refuse.New(refuse.Unreachable, "each upstream was tried", no.RetryAfter))
-	case errors.As(err, &no):
-		q.refuse(no)
-	case q.over(ctx):
-		q.refuse(refuse.New(refuse.Deadline, "", notReadyRetry))
+	case errors.As(err, &refusal) && refusal.Code == refuse.NoUpstream && q.sends > 0:
+		q.refuse(refuse.New(refuse.Unreachable, "each upstream was tried", refusal.RetryAfter))
+	case errors.As(err, &refusal):
+		q.refuse(refusal)
+	case q.expired(ctx):
+		q.refuse(refuse.New(refuse.Deadline, "", defaultRetryAfter))
 	default:
-		q.refuse(refuse.New(refuse.NoUpstream, err.Error(), notReadyRetry))
+		q.refuse(refuse.New(refuse.NoUpstream, err.Error(), defaultRetryAfter))
 	}
 }
 
-// end gives the final answer after the last send.
-func (q *request) end(ctx context.Context, res result) {
+// finish gives the caller the final response after the last send.
+func (q *request) finish(ctx context.Context, res result) {
 	switch {
-	case res.end == whole:
-		q.served(res)
-	case res.end == left, q.r.Context().Err() != nil:
+	case res.outcome == outcomeComplete:
+		q.recordCompletion(res)
+	case res.outcome == outcomeCallerLeft, q.r.Context().Err() != nil:
 		q.abort("caller left", res.err)
-	case q.begun:
+	case q.headerSent:
 		q.abort("stream broken", res.err)
-	case res.keep != nil:
+	case res.failure != nil:
 		q.gate.Stats.Count("answers-failed", 1)
-		q.note("Upstream's failure passed on.", res)
-		res.keep.write(q.w)
-	case q.ran > 0 && q.over(ctx):
+		q.logResult("Upstream's failure passed on.", res)
+		res.failure.write(q.w)
+	case q.runs > 0 && q.expired(ctx):
 		q.refuse(refuse.New(refuse.DeadlinePassed, "", 0))
-	case q.ran > 0:
+	case q.runs > 0:
 		q.refuse(refuse.New(refuse.UpstreamLost, errText(res.err), 0))
 	default:
-		q.refuse(refuse.New(refuse.Unreachable, errText(res.err), notReadyRetry))
+		q.refuse(refuse.New(refuse.Unreachable, errText(res.err), defaultRetryAfter))
 	}
 }
 
-// refuse gives an answer of this system's own.
+// refuse responds with an error of azurelane itself.
 func (q *request) refuse(e *refuse.Error) {
 	q.gate.Stats.Count("refused-"+e.Code, 1)
 	q.gate.Log.Info("Request refused.", "request", q.meta.ID, "code", e.Code, "why", e.Text, "status", e.Status(),
-		"retry-after", e.RetryAfter.String(), "route", q.name(), "account", q.account, "pool", q.pool,
-		"version", q.view.Version, "sends", q.sends, "ran", q.ran, "took", time.Since(q.start).String())
+		"retry-after", e.RetryAfter.String(), "route", q.routeName(), "account", q.account, "pool", q.pool,
+		"version", q.view.Version, "sends", q.sends, "ran", q.runs, "took", time.Since(q.start).String())
 	if e.RetryAfter > 0 {
 		q.gate.Dialect.Refuse(q.w.Header(), e.RetryAfter)
 	}
 	http.Error(q.w, "azurelane: "+e.Error(), e.Status())
 }
 
-// abort ends the answer so that the caller sees that it is not whole.
+// abort breaks off the response, so that the caller sees that it is incomplete.
 func (q *request) abort(why string, err error) {
 	q.gate.Stats.Count("aborted", 1)
 	q.gate.Log.Info("Request ends without a whole answer.", "request", q.meta.ID, "why", why, "err", errText(err),
-		"route", q.name(), "account", q.account, "pool", q.pool, "sends", q.sends, "ran", q.ran,
+		"route", q.routeName(), "account", q.account, "pool", q.pool, "sends", q.sends, "ran", q.runs,
 		"prompt", q.meta.Prompt, "answer", q.meta.Answer, "expect", q.meta.Expect, "events", q.events,
 		"took", time.Since(q.start).String())
 	panic(http.ErrAbortHandler)
 }
 
-// served counts a whole answer. A late one gets a line with what made it late:
-// the wait for a place, the upstream's first event, or a pause between two.
-func (q *request) served(res result) {
+// recordCompletion counts and logs a complete response. A late response is logged at info level,
+// any other at debug level. The line shows the cause of a delay: the wait for an upstream, the
+// upstream's first event, or a pause between two events.
+func (q *request) recordCompletion(res result) {
 	took := time.Since(q.start)
 	first := took
-	if q.begun {
-		first = q.began
+	if q.headerSent {
+		first = q.firstEventAfter
 	}
-	q.gate.answered(time.Now(), q.digest())
+	q.gate.markAnswered(time.Now(), q.digest())
 	q.gate.Stats.Count("answers-whole", 1)
-	q.gate.Stats.Time("first-"+q.name(), first)
-	q.gate.Stats.Time("total-"+q.name(), took)
+	q.gate.Stats.Time("first-"+q.routeName(), first)
+	q.gate.Stats.Time("total-"+q.routeName(), took)
 	lateFirst := q.route.Objective > 0 && first > q.route.Objective
 	lateGap := q.route.Gap > 0 && q.gap > q.route.Gap
 	log := q.gate.Log.V(1)
@@ -267,17 +267,17 @@
 		q.gate.Stats.Count("answers-late", 1)
 		log = q.gate.Log
 	}
-	log.Info("Answer whole.", "request", q.meta.ID, "route", q.name(), "sends", q.sends, "late-first", lateFirst,
+	log.Info("Response complete.", "request", q.meta.ID, "route", q.routeName(), "sends", q.sends, "late-first", lateFirst,
 		"late-gap", lateGap, "first", first.String(), "upstream-first", res.first.String(), "gap", q.gap.String(),
 		"took", took.String(), "prompt", q.meta.Prompt, "answer", q.meta.Answer, "expect", q.meta.Expect, "events", q.events)
 }
 
-func (q *request) note(what string, res result) {
-	q.gate.Log.Info(what, "request", q.meta.ID, "route", q.name(), "account", q.account, "pool", q.pool,
-		"status", res.status, "err", errText(res.err), "sends", q.sends, "ran", q.ran, "took", time.Since(q.start).String())
+func (q *request) logResult(msg string, res result) {
+	q.gate.Log.Info(msg, "request", q.meta.ID, "route", q.routeName(), "account", q.account, "pool", q.pool,
+		"status", res.status, "err", errText(res.err), "sends", q.sends, "ran", q.runs, "took", time.Since(q.start).String())
 }
 
-func (q *request) name() string {
+func (q *request) routeName() string {
 	if q.route == nil {
 		return ""
 	}
@@ -287,14 +287,14 @@
 // ticket describes the request to the scheduler.
 func (q *request) ticket() *wire.Ticket {
 	account := 0
-	if q.limits.Priority != nil {
-		account = *q.limits.Priority
+	if q.accountConfig.Priority != nil {
+		account = *q.accountConfig.Priority
 	}
 	t := &wire.Ticket{
-		Id: q.gate.last.Add(1), Entry: q.gate.Node, Incarnation: q.gate.Incarnation, Account: q.account, Pool: q.pool,
-		Model: "", DeadlineUs: q.remains().Microseconds(), PromptTokens: q.meta.Prompt, AnswerTokens: q.meta.Tokens(),
+		Id: q.gate.lastTicket.Add(1), Entry: q.gate.Node, Incarnation: q.gate.Incarnation, Account: q.account, Pool: q.pool,
+		Model: "", DeadlineUs: q.remaining().Microseconds(), PromptTokens: q.meta.Prompt, AnswerTokens: q.meta.Tokens(),
 		Repeatable: q.route.Repeatable(), Avoid: q.avoid, Route: q.route.Name,
-		Priority: rank(q.route.Priority), AccountPriority: rank(account), Returned: q.sends > 0, Request: q.meta.ID,
+		Priority: wirePriority(q.route.Priority), AccountPriority: wirePriority(account), Returned: q.sends > 0, Request: q.meta.ID,
 	}
 	for _, p := range q.meta.Parts {
 		t.Parts = append(t.Parts, &wire.PromptPart{Hash: p.Hash, Tokens: p.Tokens})
@@ -303,29 +303,29 @@
 		t.Units = q.units()
 	}
 	t.GapUs = q.route.Gap.Microseconds()
-	if q.route.Objective > 0 && !q.begun {
-		t.ObjectiveUs = (q.route.Objective - q.before - time.Since(q.start)).Microseconds()
+	if q.route.Objective > 0 && !q.headerSent {
+		t.ObjectiveUs = (q.route.Objective - q.sinceFirstTry - time.Since(q.start)).Microseconds()
 	}
 	return t
 }
 
-// rank is a priority as tickets tell it.
-func rank(priority int) int32 {
-	const last = 100
-	return int32(min(max(priority, 0), last)) //nolint:gosec // Bounded.
+// wirePriority limits a priority to the range that tickets use, 0 to 100.
+func wirePriority(priority int) int32 {
+	const maxPriority = 100
+	return int32(min(max(priority, 0), maxPriority)) //nolint:gosec // Bounded.
 }
 
-// digest identifies the request's content.
+// digest identifies the request by its content.
 func (q *request) digest() digest.Digest {
-	if q.hash == nil {
+	if q.cachedDigest == nil {
 		d := digest.Of(q.account, q.r.Host, q.r.RequestURI, q.body)
-		q.hash = &d
+		q.cachedDigest = &d
 	}
-	return *q.hash
+	return *q.cachedDigest
 }
 
-// units is what the request counts against its account's rate.
-func (q *request) units() int64 { return q.limits.Units(q.meta.Prompt + q.meta.Answer) }
+// units is the number of units that the request costs its account.
+func (q *request) units() int64 { return q.accountConfig.Units(q.meta.Prompt + q.meta.Answer) }
 
 func errText(err error) string {
 	if err == nil {
@@ -336,7 +336,7 @@
 
 func asError[T error](err error, target *T) bool { return errors.As(err, target) }
 
-// readAll reads a body whose length is known, or -1.
+// readAll reads a body of size bytes, or of unknown length if size is -1.
 func readAll(r io.Reader, size int64) ([]byte, error) {
 	if size == 0 {
 		return nil, nil
--- a/io/gate/stream.go
+++ b/io/gate/stream.go
@@ -11,15 +11,15 @@
 	"github.com/pkg/errors"
 )
 
-// stream passes the events of one send on, whole events only. What another
-// upstream may go on with must not begin in the middle of an event.
+// stream relays the events of one send. It passes on complete events only, so that another upstream
+// can resume the stream at an event boundary.
 type stream struct {
 	*request
-	resp  *http.Response
-	quiet *time.Timer // Ends the send when the upstream is silent.
-	start time.Time
-	last  time.Time // When events of this send last left.
-	buf   []byte    // The beginning of an event that has not come whole.
+	resp         *http.Response
+	silenceTimer *time.Timer // Ends the send when the upstream is silent for too long.
+	sentAt       time.Time
+	lastWriteAt  time.Time // When events of this send were last written to the caller.
+	buf          []byte    // Start of an event that has not arrived completely.
 }
 
 const (
@@ -35,61 +35,61 @@
 	errOversize = errors.New("gate: event too large")
 )
 
-func (s *stream) pass(ctx context.Context, res *result) {
+func (s *stream) relay(ctx context.Context, res *result) {
 	rd := make([]byte, readSize)
 	for {
 		n, err := s.resp.Body.Read(rd)
 		if n > 0 {
-			s.wait()
+			s.resetSilenceTimer()
 			s.buf = append(s.buf, rd[:n]...)
-			if werr := s.forward(res); werr != nil {
-				res.end, res.err = left, werr
+			if werr := s.writeEvents(res); werr != nil {
+				res.outcome, res.err = outcomeCallerLeft, werr
 				return
 			}
 		}
 		switch {
 		case errors.Is(err, io.EOF) && len(s.buf) > 0:
-			res.end, res.err = broken, errPartial
+			res.outcome, res.err = outcomeInterrupted, errPartial
 			return
 		case errors.Is(err, io.EOF):
-			s.begin() // It may be whole without any event.
-			res.end = whole
+			s.writeHeader() // A stream without events is complete too.
+			res.outcome = outcomeComplete
 			return
 		case err != nil:
-			res.end, res.err = broken, cause(ctx, err)
+			res.outcome, res.err = outcomeInterrupted, withCause(ctx, err)
 			return
 		case len(s.buf) > maxEvent:
-			res.end, res.err = broken, errOversize
+			res.outcome, res.err = outcomeInterrupted, errOversize
 			return
 		}
 	}
 }
 
-// wait sets how long the upstream may be silent from now on.
-func (s *stream) wait() {
-	if !s.route.Repeatable() || s.ran+1 >= s.route.Most() {
-		return // It runs to its end: the timer was set to that.
+// resetSilenceTimer restarts the time for which the upstream may be silent.
+func (s *stream) resetSilenceTimer() {
+	if !s.route.Repeatable() || s.runs+1 >= s.route.Most() {
+		return // No other upstream may run the request: the timer ends when its time is over.
 	}
-	s.quiet.Reset(min(max(gapTry*s.route.Gap, leastWait), s.remains()))
+	s.silenceTimer.Reset(min(max(eventGapFactor*s.route.Gap, minEventWait), s.remaining()))
 }
 
-// forward passes on the whole events that have come.
-func (s *stream) forward(res *result) error {
+// writeEvents passes the complete events in the buffer on to the caller.
+func (s *stream) writeEvents(res *result) error {
 	end := 0
 	for {
 		n := eventLen(s.buf[end:])
 		if n == 0 {
 			break
 		}
-		s.note(s.buf[end : end+n])
+		s.recordEvent(s.buf[end : end+n])
 		res.events++
 		end += n
 	}
 	if end == 0 {
 		return nil
 	}
-	s.time(res)
-	s.begin()
+	s.recordTiming(res)
+	s.writeHeader()
 	if _, err := s.w.Write(s.buf[:end]); err != nil {
 		return fmt.Errorf("gate: write: %w", err)
 	}
@@ -100,44 +100,44 @@
 	return nil
 }
 
-// time notes when events leave.
-func (s *stream) time(res *result) {
+// recordTiming records when events are written.
+func (s *stream) recordTiming(res *result) {
 	now := time.Now()
 	if res.first == 0 {
-		res.first = now.Sub(s.start)
+		res.first = now.Sub(s.sentAt)
 	} else {
-		res.gap = max(res.gap, now.Sub(s.last))
+		res.gap = max(res.gap, now.Sub(s.lastWriteAt))
 	}
-	if !s.begun {
-		s.began = now.Sub(s.request.start)
-	} else if !s.left.IsZero() {
-		s.gap = max(s.gap, now.Sub(s.left))
+	if !s.headerSent {
+		s.firstEventAfter = now.Sub(s.request.start)
+	} else if !s.lastEventAt.IsZero() {
+		s.gap = max(s.gap, now.Sub(s.lastEventAt))
 	}
-	s.last, s.left = now, now
+	s.lastWriteAt, s.lastEventAt = now, now
 }
 
-// begin writes the header of the answer, once: that of the first upstream
-// stays when another one goes on.
-func (s *stream) begin() {
-	if s.begun {
+// writeHeader writes the header of the response once. If another upstream resumes the stream, the
+// header of the first one stays.
+func (s *stream) writeHeader() {
+	if s.headerSent {
 		return
 	}
-	s.begun = true
-	copyHeader(s.w.Header(), s.resp.Header)
+	s.headerSent = true
+	copyEndToEndHeaders(s.w.Header(), s.resp.Header)
 	s.w.WriteHeader(s.resp.StatusCode)
 }
 
-// note remembers the id of an event that is about to leave.
-func (s *stream) note(event []byte) {
+// recordEvent counts an event and remembers its ID, after which another upstream can resume.
+func (s *stream) recordEvent(event []byte) {
 	s.events++
 	for line := range bytes.Lines(event) {
 		if id, ok := bytes.CutPrefix(line, idField); ok {
-			s.request.last = string(bytes.TrimSpace(id))
+			s.request.lastEventID = string(bytes.TrimSpace(id))
 		}
 	}
 }
 
-// eventLen is the length of the first whole event, zero when there is none.
+// eventLen returns the length of the first complete event, or 0 if there is none.
 func eventLen(b []byte) int {
 	n := bytes.Index(b, eventEnd)
 	m := bytes.Index(b, eventEndCR)
--- a/io/gate/stream_test.go
+++ b/io/gate/stream_test.go
@@ -11,49 +11,48 @@
 	"github.com/shoenig/test/must"
 )
 
-// The first upstream dies in the middle of an event. Another one goes on after
-// the last whole event; the caller sees one stream, none missing, none twice,
-// under the first one's header.
-func TestStreamGoesOn(t *testing.T) {
+// The first upstream dies in the middle of an event. Another one resumes after the last complete
+// event. The caller sees one stream under the first upstream's header, without missing or repeated
+// events.
+func TestStreamResumes(t *testing.T) {
 	first := newUpstream(t, func(_ int, r *http.Request, w io.Writer) bool {
-		events(r, w, 1, 3, false)
-		chunk(w, "id: 4\nda")
+		writeEvents(r, w, 1, 3, false)
+		writeChunk(w, "id: 4\nda")
 		closeConn(w)
 		return false
 	})
 	second := newUpstream(t, func(_ int, r *http.Request, w io.Writer) bool {
-		events(r, w, 4, 6, true)
+		writeEvents(r, w, 4, 6, true)
 		return true
 	})
-	s := newSite(t, first, second)
-	r := s.ask("POST", "/resume/x")
+	s := newTestGate(t, first, second)
+	r := s.do("POST", "/resume/x")
 	must.NoError(t, r.err)
-	must.Eq(t, streamTo(6), r.body)
-	must.Eq(t, "3", second.seen[0].Header.Get("X-Last"))
+	must.Eq(t, eventsUpTo(6), r.body)
+	must.Eq(t, "3", second.requests[0].Header.Get("X-Last"))
 }
 
-// A stream that may not go on elsewhere breaks. The caller must see that: its
-// body ends without the closing chunk, and no second upstream gets the request.
-func TestStreamBreaksVisibly(t *testing.T) {
+// A stream that cannot resume elsewhere breaks off. The caller must notice: the body ends without
+// the closing chunk, and no second upstream receives the request.
+func TestStreamTruncationIsVisible(t *testing.T) {
 	first := newUpstream(t, func(_ int, r *http.Request, w io.Writer) bool {
-		events(r, w, 1, 3, false)
+		writeEvents(r, w, 1, 3, false)
 		closeConn(w)
 		return false
 	})
-	second := newUpstream(t, text("no"))
-	r := newSite(t, first, second).ask("POST", "/stream/x")
+	second := newUpstream(t, respondText("no"))
+	r := newTestGate(t, first, second).do("POST", "/stream/x")
 	must.Error(t, r.err)
-	must.Eq(t, streamTo(3), r.body)
+	must.Eq(t, eventsUpTo(3), r.body)
 	must.Eq(t, 0, second.count())
 }
 
-// A stream is still on its way when its time is over. What the wait for the next
-// event and the time itself end in the same moment is told by its cause, the
-// time: who reads the log would else look for an upstream that fell silent.
-func TestStreamOverItsTime(t *testing.T) {
-	s := newSite(t, newUpstream(t, func(_ int, r *http.Request, w io.Writer) bool {
-		events(r, w, 1, 1, false)
-		return true // It goes on, without another event in this time.
+// Guards against a log line that blames a silent upstream when the request's time is over. The wait
+// for the next event and the request's time end at the same moment.
+func TestStreamDeadlineCause(t *testing.T) {
+	s := newTestGate(t, newUpstream(t, func(_ int, r *http.Request, w io.Writer) bool {
+		writeEvents(r, w, 1, 1, false)
+		return true // The stream stays open, without another event in this time.
 	}))
 	var mu sync.Mutex
 	var ends []string
@@ -67,9 +66,9 @@
 	var wg sync.WaitGroup
 	for range 50 {
 		wg.Go(func() {
-			r := s.ask("POST", "/stream/x", "X-Wait", "300ms")
+			r := s.do("POST", "/stream/x", "X-Wait", "300ms")
 			must.Error(t, r.err)
-			must.Eq(t, streamTo(1), r.body)
+			must.Eq(t, eventsUpTo(1), r.body)
 		})
 	}
 	wg.Wait()
@@ -78,20 +77,20 @@
 	must.Len(t, 50, ends)
 	for _, line := range ends {
 		must.StrContains(t, line, errDeadline.Error())
-		must.StrNotContains(t, line, errQuiet.Error())
+		must.StrNotContains(t, line, errSilent.Error())
 	}
 }
 
-// A stream without a length ends with its connection. It is whole.
+// A stream without a length ends when its connection closes. It is complete.
 func TestUnframedStream(t *testing.T) {
 	u := newUpstream(t, func(_ int, r *http.Request, w io.Writer) bool {
-		_, _ = io.WriteString(w, head(r, http.StatusOK, "Content-Type: text/event-stream\r\n\r\n")+streamTo(3))
+		_, _ = io.WriteString(w, responseHead(r, http.StatusOK, "Content-Type: text/event-stream\r\n\r\n")+eventsUpTo(3))
 		closeConn(w)
 		return false
 	})
-	r := newSite(t, u).ask("POST", "/stream/x")
+	r := newTestGate(t, u).do("POST", "/stream/x")
 	must.NoError(t, r.err)
-	must.Eq(t, streamTo(3), r.body)
+	must.Eq(t, eventsUpTo(3), r.body)
 }
 
 func TestEventLen(t *testing.T) {
--- a/io/gate/suspects.go
+++ b/io/gate/suspects.go
@@ -17,143 +17,149 @@
 )
 
 type (
-	// suspects is what an entry knows of requests that crash upstreams. Its scheduler
-	// brings together what all entries saw. The zero value is ready.
+	// suspects tracks requests that may crash upstreams. The scheduler merges the reports of all
+	// entries. The zero value is ready to use.
 	suspects struct {
 		mu      sync.Mutex
-		seen    poison.Poison               // Crashes at this entry.
-		banned  map[digest.Digest]ban       // By the scheduler.
-		watched map[digest.Digest]time.Time // By the scheduler; a whole answer since then clears it.
-		whole   recent.Recent
-		unsent  wire.Crashes // Not reported yet.
+		crashes poison.Poison         // Crashes that this entry observed.
+		banned  map[digest.Digest]ban // Banned by the scheduler.
+		// watched holds the requests that the scheduler suspects, with the time of their first
+		// crash. A complete response after that time clears a request.
+		watched    map[digest.Digest]time.Time
+		answered   recent.Recent
+		unreported wire.Crashes // Not reported yet.
 	}
 
-	// ban is a request that is not sent any more.
+	// ban is a request that may not be sent any more.
 	ban struct {
-		tries int
-		next  time.Time // When the scheduler may be asked to let it be tried; zero for never.
+		trials    int
+		nextTrial time.Time // When the scheduler may be asked to allow a trial; zero for never.
 	}
 
-	// trier asks the scheduler for leave to send a banned request once.
+	// trier asks the scheduler for permission to send a banned request once.
 	trier interface {
 		Try(ctx context.Context, d digest.Digest) error
 	}
 
-	// prober tells whether a process still listens at an address.
+	// prober checks whether any process listens at an address.
 	prober interface {
 		Closed(ctx context.Context, addr netip.AddrPort) bool
 	}
 )
 
-// suspect notes a request whose run broke off because its upstream crashed. A cut link,
-// a broken answer or a reset connection look alike at first, but the upstream still
-// takes connections then, or nothing comes back from it at all.
-func (q *request) suspect(p *place, res result) {
-	if res.end != broken || errors.Is(res.err, errQuiet) || errors.Is(res.err, errDeadline) {
+// checkCrash records a crash if a run broke off because the process of its upstream ended. A broken
+// link, an invalid response and a reset connection look the same at first, but then the upstream
+// still accepts connections, or the connection attempt gets no reply at all.
+func (q *request) checkCrash(p *placement, res result) {
+	if res.outcome != outcomeInterrupted || errors.Is(res.err, errSilent) || errors.Is(res.err, errDeadline) {
 		return
 	}
-	addr, err := netip.ParseAddrPort(p.up.GetAddress())
+	addr, err := netip.ParseAddrPort(p.upstream.GetAddress())
 	if err != nil {
-		return // What was sent to went by another form of address.
+		return // Only an IP address and port can be probed.
 	}
-	g, d, id, up := q.gate, q.digest(), q.meta.ID, q.incarnation(p)
+	g, d, id, up := q.gate, q.digest(), q.meta.ID, q.upstreamIncarnation(p)
 	ctx := context.WithoutCancel(q.r.Context())
-	look := func() {
+	checkAddress := func() {
 		if !g.Prober.Closed(ctx, addr) {
 			return
 		}
-		g.Log.Info("Upstream crashed under a request.", "request", id, "digest", d.String(), "upstream", up, "address", addr.String())
+		g.Log.Info("Upstream crashed while it ran a request.", "request", id, "digest", d.String(), "upstream", up, "address", addr.String())
 		g.Stats.Count("crashes-seen", 1)
-		g.suspects.crash(time.Now(), d, up)
-		g.reports.notify()
+		g.suspects.recordCrash(time.Now(), d, up)
+		g.reportSignal.notify()
 	}
 	if !q.route.Repeatable() {
-		go look() // Its caller need not wait for what concerns the next copy alone.
+		// The result affects later copies of the request only, so its caller need not wait.
+		go checkAddress()
 		return
 	}
-	look()
+	checkAddress()
 }
 
-// incarnation names the process of an upstream, which may come back under the same id.
-func (q *request) incarnation(p *place) string {
-	id := p.up.GetId()
-	if born := max(p.up.GetBorn(), q.view.Upstream(id).GetBorn()); born > 0 {
+// upstreamIncarnation returns a name for the process of an upstream. A restarted upstream may have
+// the same ID as before.
+func (q *request) upstreamIncarnation(p *placement) string {
+	id := p.upstream.GetId()
+	if born := max(p.upstream.GetBorn(), q.view.Upstream(id).GetBorn()); born > 0 {
 		return id + "@" + strconv.FormatInt(born, 10)
 	}
 	return id
 }
 
-// refusedAs returns the refusal of a request that is banned, nil for all others.
-func (q *request) refusedAs(ctx context.Context) *refuse.Error {
+// banRefusal returns the refusal of a banned request, or nil if the request may be sent. If the
+// scheduler allows a trial, a banned request may be sent too.
+func (q *request) banRefusal(ctx context.Context) *refuse.Error {
 	d := q.digest()
-	if !q.gate.suspects.has(d, q.gate.News.View().Owner == nil) {
+	if !q.gate.suspects.isBanned(d, q.gate.Cluster.View().Owner == nil) {
 		return nil
 	}
-	if q.gate.suspects.due(time.Now(), d) {
+	if q.gate.suspects.claimTrial(time.Now(), d) {
 		err := q.gate.Trier.Try(ctx, d)
 		if err == nil {
-			q.trying = true
+			q.banTrial = true
 			return nil
 		}
-		q.gate.Log.V(1).Info("Banned request is not tried.", "digest", d.String(), "err", err.Error())
+		q.gate.Log.V(1).Info("Trial of a banned request not allowed.", "digest", d.String(), "err", err.Error())
 	}
 	return refuse.New(refuse.Crashes, "upstreams crashed under it before; its digest is "+q.digest().String(), 0)
 }
 
-// has reports whether a request is banned. What this entry saw by itself decides only
-// while it is alone: the scheduler knows who else was at the upstreams that crashed.
-func (s *suspects) has(d digest.Digest, alone bool) bool {
+// isBanned reports whether a request is banned. Crashes that only this entry observed count while
+// it has no scheduler. A scheduler knows which other requests ran at the upstreams that crashed.
+func (s *suspects) isBanned(d digest.Digest, standalone bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ok := s.banned[d]
-	return ok || (alone && s.seen.Banned(d))
+	return ok || (standalone && s.crashes.Banned(d))
 }
 
-// due reports whether the scheduler is to be asked to let a banned request be tried. It
-// is asked once by each entry; its next list tells when it may be again.
-func (s *suspects) due(now time.Time, d digest.Digest) bool {
+// claimTrial reports whether the scheduler should be asked now to allow a trial of a banned
+// request. Each entry asks once. The scheduler's next list says when it may ask again.
+func (s *suspects) claimTrial(now time.Time, d digest.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.banned[d]
-	if b.next.IsZero() || now.Before(b.next) {
+	if b.nextTrial.IsZero() || now.Before(b.nextTrial) {
 		return false
 	}
-	b.next = time.Time{}
+	b.nextTrial = time.Time{}
 	s.banned[d] = b
 	return true
 }
 
-func (s *suspects) crash(now time.Time, d digest.Digest, upstream string) {
+func (s *suspects) recordCrash(now time.Time, d digest.Digest, upstream string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answered := s.whole.Has(d)
-	s.seen.Crash(now, d, upstream, answered)
-	s.unsent.Crashes = append(s.unsent.Crashes, &wire.Crash{Digest: d[:], Upstream: upstream, Answered: answered})
+	answered := s.answered.Has(d)
+	s.crashes.Crash(now, d, upstream, answered)
+	s.unreported.Crashes = append(s.unreported.Crashes, &wire.Crash{Digest: d[:], Upstream: upstream, Answered: answered})
 }
 
-// answered notes a whole answer. What an upstream has run to its end does not crash
-// each one that runs it.
-func (g *Gate) answered(now time.Time, d digest.Digest) {
+// markAnswered records a complete response. A request that an upstream has run to completion does
+// not crash every upstream, so it is cleared.
+func (g *Gate) markAnswered(now time.Time, d digest.Digest) {
 	s := &g.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.whole.Add(now, d)
-	if _, ok := s.watched[d]; ok || s.seen.Knows(d) {
-		s.clear(d)
-		g.reports.notify()
+	s.answered.Add(now, d)
+	if _, ok := s.watched[d]; ok || s.crashes.Knows(d) {
+		s.clearSuspect(d)
+		g.reportSignal.notify()
 	}
 }
 
-// clear notes and reports that a request is innocent. The lock is held.
-func (s *suspects) clear(d digest.Digest) {
-	s.seen.Clear(d)
+// clearSuspect clears a request of suspicion and queues a report of that. s.mu must be held.
+func (s *suspects) clearSuspect(d digest.Digest) {
+	s.crashes.Clear(d)
 	delete(s.watched, d) // One report is enough.
-	s.unsent.Cleared = append(s.unsent.Cleared, d[:])
+	s.unreported.Cleared = append(s.unreported.Cleared, d[:])
 }
 
-// Banned takes the scheduler's list. What it no longer lists was lifted, unless the
-// scheduler is another one than before: that one may not have heard of it yet.
-func (g *Gate) Banned(list *wire.Bans, other bool) {
+// SetBans applies the scheduler's list of bans. A request that is no longer listed has been
+// cleared, unless the list comes from another scheduler than before, which may not know of the
+// request yet.
+func (g *Gate) SetBans(list *wire.Bans, newScheduler bool) {
 	now, s := time.Now(), &g.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,73 +170,74 @@
 		if !ok {
 			continue
 		}
-		it := ban{tries: int(b.GetTries())}
+		newBan := ban{trials: int(b.GetTries())}
 		if b.GetNextUs() >= 0 {
-			it.next = now.Add(time.Duration(b.GetNextUs()) * time.Microsecond)
+			newBan.nextTrial = now.Add(time.Duration(b.GetNextUs()) * time.Microsecond)
 		}
-		s.banned[d] = it
+		s.banned[d] = newBan
 	}
 	for _, w := range list.GetWatched() {
 		if d, ok := digest.From(w.GetDigest()); ok {
 			s.watched[d] = now.Add(-time.Duration(w.GetAgeUs()) * time.Microsecond)
 		}
 	}
-	if !other {
-		s.lift(now, watched)
+	if !newScheduler {
+		s.liftBans(now, watched)
 	}
 	for d, since := range s.watched {
-		if s.whole.Since(since, d) {
-			s.clear(d)
-			g.reports.notify()
+		if s.answered.Since(since, d) {
+			s.clearSuspect(d)
+			g.reportSignal.notify()
 		}
 	}
 }
 
-// lift forgets the crashes of requests that the scheduler watched, and of those that this
-// entry has banned by itself, where the list of now has them no longer. The lock is held.
-func (s *suspects) lift(now time.Time, watched map[digest.Digest]time.Time) {
+// liftBans forgets the crashes of requests that the new list does not contain: requests that the
+// scheduler watched before, and requests that this entry banned itself. s.mu must be held.
+func (s *suspects) liftBans(now time.Time, watched map[digest.Digest]time.Time) {
 	for d := range watched {
 		if _, ok := s.watched[d]; !ok {
-			s.seen.Clear(d)
+			s.crashes.Clear(d)
 		}
 	}
-	for _, b := range s.seen.Bans(now).GetBanned() {
+	for _, b := range s.crashes.Bans(now).GetBanned() {
 		d, _ := digest.From(b.GetDigest())
 		if _, ok := s.banned[d]; !ok {
-			s.seen.Clear(d)
+			s.crashes.Clear(d)
 		}
 	}
 }
 
-// Crashes is all that this entry knows, for a scheduler that is new to it.
-func (g *Gate) Crashes() *wire.Crashes {
+// KnownCrashes returns all crashes and bans that this entry knows, for a scheduler that it has not
+// reported to before.
+func (g *Gate) KnownCrashes() *wire.Crashes {
 	s := &g.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.seen.Crashes(time.Now())
-	s.unsent.Crashes = nil
+	c := s.crashes.Crashes(time.Now())
+	s.unreported.Crashes = nil
 	for d, b := range s.banned {
-		c.Banned = append(c.Banned, &wire.Ban{Digest: d[:], Tries: int32(b.tries)}) //nolint:gosec // A few.
+		c.Banned = append(c.Banned, &wire.Ban{Digest: d[:], Tries: int32(b.trials)}) //nolint:gosec // A few.
 	}
 	return c
 }
 
-// Suspects takes what is to be reported.
-func (g *Gate) Suspects() *wire.Crashes {
+// TakeCrashReports returns the queued reports and clears the queue.
+func (g *Gate) TakeCrashReports() *wire.Crashes {
 	s := &g.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &wire.Crashes{Crashes: s.unsent.GetCrashes(), Cleared: s.unsent.GetCleared()}
-	s.unsent.Crashes, s.unsent.Cleared = nil, nil
+	c := &wire.Crashes{Crashes: s.unreported.GetCrashes(), Cleared: s.unreported.GetCleared()}
+	s.unreported.Crashes, s.unreported.Cleared = nil, nil
 	return c
 }
 
-// Unreported takes back what could not be reported.
-func (g *Gate) Unreported(c *wire.Crashes) {
+// RequeueCrashReports puts reports back that could not be delivered.
+func (g *Gate) RequeueCrashReports(c *wire.Crashes) {
 	s := &g.suspects
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unsent.Crashes = append(s.unsent.Crashes, c.GetCrashes()...)
-	s.unsent.Cleared = append(s.unsent.Cleared, c.GetCleared()...)
-	g.reports.notify()
+	s.unreported.Crashes = append(s.unreported.Crashes, c.GetCrashes()...)
+	s.unreported.Cleared = append(s.unreported.Cleared, c.GetCleared()...)
+	g.reportSignal.notify()
 }
--- a/io/gate/suspects_test.go
+++ b/io/gate/suspects_test.go
@@ -14,16 +14,16 @@
 	"azurelane/core/wire"
 )
 
-// breaking is an upstream that ends each answer in the middle; crashes says whether its
-// process ends with it.
-func breaking(t *testing.T, crashes bool) *upstream {
+// breakingUpstream returns an upstream that breaks off its responses to /once/bad. If crashes is
+// set, it also stops listening, as if its process had ended.
+func breakingUpstream(t *testing.T, crashes bool) *upstream {
 	t.Helper()
 	var u *upstream
 	u = newUpstream(t, func(_ int, r *http.Request, w io.Writer) bool {
 		if r.URL.Path != "/once/bad" {
-			return text("ok")(0, r, w)
+			return respondText("ok")(0, r, w)
 		}
-		_, _ = io.WriteString(w, head(r, http.StatusOK, "Content-Length: 100\r\n\r\nhalf"))
+		_, _ = io.WriteString(w, responseHead(r, http.StatusOK, "Content-Length: 100\r\n\r\nhalf"))
 		if crashes {
 			_ = u.Close()
 		}
@@ -33,9 +33,9 @@
 	return u
 }
 
-// Guards against a request that goes on to crash upstreams, and against a ban of what
-// meets a broken connection to an upstream that lives.
-func TestBreaksAreCrashesOnlyIfTheProcessEnded(t *testing.T) {
+// Guards against a request that keeps crashing upstreams, and against a ban of a request that met a
+// broken connection to a live upstream.
+func TestCrashOnlyIfProcessEnded(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		crashes bool
@@ -46,12 +46,12 @@
 		{"breaks", false, 5, http.StatusBadGateway},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			ups := []*upstream{breaking(t, tc.crashes), breaking(t, tc.crashes), breaking(t, tc.crashes), breaking(t, tc.crashes), breaking(t, tc.crashes)}
-			s := newSite(t, ups...)
+			ups := []*upstream{breakingUpstream(t, tc.crashes), breakingUpstream(t, tc.crashes), breakingUpstream(t, tc.crashes), breakingUpstream(t, tc.crashes), breakingUpstream(t, tc.crashes)}
+			s := newTestGate(t, ups...)
 			var r reply
 			for n := range 5 {
-				r = s.ask("POST", "/once/bad")
-				for end := time.Now().Add(time.Second); tc.crashes && n < 3 && s.crashed() <= n && time.Now().Before(end); {
+				r = s.do("POST", "/once/bad")
+				for end := time.Now().Add(time.Second); tc.crashes && n < 3 && s.crashCount() <= n && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
 			}
@@ -62,23 +62,22 @@
 				sent += u.count()
 			}
 			must.Eq(t, tc.sent, sent)
-			must.Eq(t, http.StatusOK, s.ask("POST", "/once/other").status)
+			must.Eq(t, http.StatusOK, s.do("POST", "/once/other").status)
 		})
 	}
 }
 
-// Guards against a request that crashes one upstream again and again which comes back
-// under its id.
-func TestCrashesOfOneUpstreamThatComesBack(t *testing.T) {
-	s := newSite(t)
+// Guards against a request that repeatedly crashes one upstream that restarts under the same ID.
+func TestCrashesOfRestartedUpstream(t *testing.T) {
+	s := newTestGate(t)
 	sent := 0
 	for n := range 5 {
-		u := breaking(t, true)
+		u := breakingUpstream(t, true)
 		s.mu.Lock()
 		s.view.Upstreams["p"] = []*wire.Upstream{{Id: "up", Address: u.Addr().String(), Slots: 1, Born: int64(n + 1)}}
 		s.mu.Unlock()
-		s.ask("POST", "/once/bad")
-		for end := time.Now().Add(time.Second); n < 3 && s.crashed() <= n && time.Now().Before(end); {
+		s.do("POST", "/once/bad")
+		for end := time.Now().Add(time.Second); n < 3 && s.crashCount() <= n && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		sent += u.count()
@@ -86,73 +85,73 @@
 	must.Eq(t, 3, sent)
 }
 
-// crashed is the number of crashes that were noted.
-func (s *site) crashed() int {
+// crashCount returns the number of recorded crashes.
+func (s *testGate) crashCount() int {
 	s.suspects.mu.Lock()
 	defer s.suspects.mu.Unlock()
-	return len(s.suspects.unsent.GetCrashes())
+	return len(s.suspects.unreported.GetCrashes())
 }
 
-// permit lets banned requests be tried as often as it says.
-type permit int
+// trialsLeft is a trier that allows this many trials.
+type trialsLeft int
 
-func (p *permit) Try(context.Context, digest.Digest) error {
+func (p *trialsLeft) Try(context.Context, digest.Digest) error {
 	if *p--; *p < 0 {
 		return errors.New("not now")
 	}
 	return nil
 }
 
-// Guards against a request that stays banned though an upstream ran it, and against more
-// tries than the scheduler allows.
+// Guards against a request that stays banned although an upstream completed it, and against more
+// trials than the scheduler allows.
 func TestBannedByTheScheduler(t *testing.T) {
-	u := newUpstream(t, text("ok"))
-	s := newSite(t, u)
-	one := permit(1)
+	u := newUpstream(t, respondText("ok"))
+	s := newTestGate(t, u)
+	one := trialsLeft(1)
 	s.Trier = &one
 	d := digest.Of("radio", "h", "/once/x", []byte("text"))
 	list := &wire.Bans{Revision: 1, Banned: []*wire.Ban{{Digest: d[:], NextUs: -1}}, Watched: []*wire.Watched{{Digest: d[:]}}}
-	s.Banned(list, true)
-	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x").status)
-	must.Eq(t, http.StatusOK, s.ask("POST", "/once/y").status)
+	s.SetBans(list, true)
+	must.Eq(t, http.StatusServiceUnavailable, s.do("POST", "/once/x").status)
+	must.Eq(t, http.StatusOK, s.do("POST", "/once/y").status)
 	must.Eq(t, 1, u.count())
 
 	list.Banned[0].NextUs = 0
-	s.Banned(list, false)
-	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
-	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x").status)
-	must.Eq(t, [][]byte{d[:]}, s.Suspects().GetCleared())
+	s.SetBans(list, false)
+	must.Eq(t, http.StatusOK, s.do("POST", "/once/x").status)
+	must.Eq(t, http.StatusServiceUnavailable, s.do("POST", "/once/x").status)
+	must.Eq(t, [][]byte{d[:]}, s.TakeCrashReports().GetCleared())
 
-	s.Banned(&wire.Bans{Revision: 2}, false)
-	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
+	s.SetBans(&wire.Bans{Revision: 2}, false)
+	must.Eq(t, http.StatusOK, s.do("POST", "/once/x").status)
 }
 
-// Guards against an entry that goes on to refuse what it has banned by itself, when the
-// ban was lifted before it was heard of here.
-func TestOwnBanIsLifted(t *testing.T) {
-	s := newSite(t, newUpstream(t, text("ok")))
+// Guards against an entry that keeps refusing a request that it banned itself, if the scheduler
+// lifted the ban before the entry heard of it.
+func TestLocalBanIsLifted(t *testing.T) {
+	s := newTestGate(t, newUpstream(t, respondText("ok")))
 	d := digest.Of("radio", "h", "/once/x", []byte("text"))
 	for _, up := range []string{"a", "b", "c"} {
-		s.suspects.crash(time.Now(), d, up)
+		s.suspects.recordCrash(time.Now(), d, up)
 	}
-	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x").status)
-	s.Banned(&wire.Bans{Revision: 1}, true)
-	must.Eq(t, http.StatusServiceUnavailable, s.ask("POST", "/once/x").status)
-	s.Banned(&wire.Bans{Revision: 2}, false)
-	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
+	must.Eq(t, http.StatusServiceUnavailable, s.do("POST", "/once/x").status)
+	s.SetBans(&wire.Bans{Revision: 1}, true)
+	must.Eq(t, http.StatusServiceUnavailable, s.do("POST", "/once/x").status)
+	s.SetBans(&wire.Bans{Revision: 2}, false)
+	must.Eq(t, http.StatusOK, s.do("POST", "/once/x").status)
 }
 
-// Guards against a popular request that is banned though it was answered between the
-// crashes, by another entry than those that saw them.
-func TestAnsweredSinceTheFirstCrash(t *testing.T) {
-	s := newSite(t, newUpstream(t, text("ok")))
-	must.Eq(t, http.StatusOK, s.ask("POST", "/once/x").status)
+// Guards against a ban of a popular request that was answered between the crashes by an entry that
+// saw none of them.
+func TestAnswerAfterFirstCrashClears(t *testing.T) {
+	s := newTestGate(t, newUpstream(t, respondText("ok")))
+	must.Eq(t, http.StatusOK, s.do("POST", "/once/x").status)
 	d := digest.Of("radio", "h", "/once/x", []byte("text"))
 	for _, tc := range []struct {
 		age     time.Duration
 		cleared int
 	}{{0, 0}, {time.Minute, 1}} {
-		s.Banned(&wire.Bans{Watched: []*wire.Watched{{Digest: d[:], AgeUs: tc.age.Microseconds()}}}, true)
-		must.Eq(t, tc.cleared, len(s.Suspects().GetCleared()))
+		s.SetBans(&wire.Bans{Watched: []*wire.Watched{{Digest: d[:], AgeUs: tc.age.Microseconds()}}}, true)
+		must.Eq(t, tc.cleared, len(s.TakeCrashReports().GetCleared()))
 	}
 }
--- a/io/gated/gated.go
+++ b/io/gated/gated.go
@@ -80,11 +80,11 @@
 	e.grant = &grant.Grant{
 		Self: set.Node, Incarnation: incarnation, Local: none{}, Members: e.watch, Mesh: e.mesh, Log: log.WithName("grant"),
 	}
-	e.watch.Changed, e.watch.Rates = e.grant.Changed, g.Rates
-	e.watch.Crashes, e.watch.Banned = g.Crashes, g.Banned
-	e.watch.Limits, e.watch.Limited = g.Limits, g.Limited
-	g.Node, g.Incarnation, g.Centre = set.Node, incarnation, set.Centre
-	g.News, g.Granter, g.Sender, g.Prober, g.Trier, g.Stats, g.Log = e.watch, e.grant, e.client, e.client, e, metrics, e.log
+	e.watch.Changed, e.watch.Rates = e.grant.Changed, g.UsageRates
+	e.watch.Crashes, e.watch.Banned = g.KnownCrashes, g.SetBans
+	e.watch.Limits, e.watch.Limited = g.KnownLimits, g.SetLimits
+	g.Node, g.Incarnation, g.DataCentre = set.Node, incarnation, set.Centre
+	g.Cluster, g.Granter, g.Sender, g.Prober, g.Trier, g.Stats, g.Log = e.watch, e.grant, e.client, e.client, e, metrics, e.log
 	metrics.Pull("configuration-version", func() int64 { return int64(e.watch.View().Version) }) //nolint:gosec // Versions are small.
 	metrics.Pull("configuration-age-ms", func() int64 { return time.Since(e.watch.View().Heard).Milliseconds() })
 	metrics.Pull("scheduler-known", func() int64 {
@@ -93,7 +93,7 @@
 		}
 		return 0
 	})
-	g.Ratio, g.Slack, g.QuotaSlack = set.RetryRatio, set.RetrySlack, set.QuotaSlack
+	g.RetryRatio, g.RetrySlack, g.QuotaSlack = set.RetryRatio, set.RetrySlack, set.QuotaSlack
 	e.front = &httpd.Httpd{Listen: lns[1], Handler: g, Drain: set.DrainLimit - lingerFor - 2*drainOpen - stopMargin, DrainOpen: drainOpen}
 	ops := &admin.Admin{Stats: metrics, Ready: g.Ready}
 	e.sup = suture.New("gate", suture.Spec{EventHook: func(ev suture.Event) { e.log.Info("Part stopped.", "event", ev.String()) }})
@@ -156,7 +156,7 @@
 	}
 	e.log.Info("Entry drains.")
 	now := time.Now()
-	e.gate.Drain(gate.Stop{Refuse: now.Add(lingerFor), End: now.Add(e.set.DrainLimit - stopMargin)})
+	e.gate.Drain(gate.DrainSchedule{RefuseFrom: now.Add(lingerFor), Deadline: now.Add(e.set.DrainLimit - stopMargin)})
 	time.Sleep(lingerFor)
 	fstop()
 	<-served //nolint:errcheck // It ended because it was told to.
@@ -181,7 +181,7 @@
 		if owner == nil {
 			continue
 		}
-		u := e.gate.Usage()
+		u := e.gate.TakeUsage()
 		to, err := netip.ParseAddrPort(owner.GetAddress())
 		if u == nil || err != nil {
 			continue
@@ -201,16 +201,16 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.gate.Reports():
+		case <-e.gate.ReportsPending():
 		}
-		if l := e.gate.NewLimits(); len(l) > 0 {
+		if l := e.gate.TakeLimitReports(); len(l) > 0 {
 			e.tellSeen(ctx, &wire.Frame{Body: &wire.Frame_Limits{Limits: &wire.Limits{Limits: l}}})
 		}
-		c := e.gate.Suspects()
+		c := e.gate.TakeCrashReports()
 		if len(c.GetCrashes())+len(c.GetCleared()) == 0 || e.tellSeen(ctx, &wire.Frame{Body: &wire.Frame_Crashes{Crashes: c}}) {
 			continue
 		}
-		e.gate.Unreported(c)
+		e.gate.RequeueCrashReports(c)
 		select {
 		case <-ctx.Done():
 			return
