--- a/io/gated/gated.go
+++ b/io/gated/gated.go
@@ -1,4 +1,4 @@
-// Package gated is the process of an entry for routes.
+// Package gated runs the process of an entry that serves routes.
 package gated
 
 import (
@@ -28,62 +28,67 @@
 )
 
 const (
-	// memoryPart is the part of the allowed memory at which the collector works
-	// harder; the rest is for stacks and what the kernel holds for the process.
-	memoryPart = 0.7
-	// lingerFor is how long a stopping entry still takes new connections: the
-	// balancer asks each second and takes it out after two refusals.
-	lingerFor = 2500 * time.Millisecond
-	// stopMargin is how long before the drain limit the process has ended.
+	// memoryLimitFraction is the fraction of the allowed memory that is set as the limit at which
+	// the garbage collector works harder. The rest is for stacks and for memory that the kernel
+	// holds for the process.
+	memoryLimitFraction = 0.7
+	// drainLinger is how long a draining entry still accepts new connections. The load balancer
+	// probes every second and removes an entry after two failed probes.
+	drainLinger = 2500 * time.Millisecond
+	// stopMargin is how long before the drain limit the process ends.
 	stopMargin = 600 * time.Millisecond
-	drainOpen  = 700 * time.Millisecond // For kept connections, before and after nothing new is accepted.
-	// opsDrainOpen is the same for the operators' ports, which stop last: the process has
+	// keepAliveDrain is how long requests on open keep-alive connections are served, before and
+	// again after the listener closes.
+	keepAliveDrain = 700 * time.Millisecond
+	// adminKeepAliveDrain is the same for the operators' ports. They stop last, and the process has
 	// to end within the drain limit.
-	opsDrainOpen = 100 * time.Millisecond
-	usageEvery   = 250 * time.Millisecond // Between two reports of what was served without asking.
-	// tellLimit is how long a scheduler may take to answer what needs no decision.
-	tellLimit = time.Second
-	idleConns = 4 * time.Second // How long an unused connection to an upstream is kept.
+	adminKeepAliveDrain = 100 * time.Millisecond
+	reportInterval      = 250 * time.Millisecond // Between two usage reports, and before a failed report is sent again.
+	// schedulerTimeout is how long the scheduler may take to acknowledge a report or to allow a
+	// trial.
+	schedulerTimeout    = time.Second
+	upstreamIdleTimeout = 4 * time.Second // How long an idle connection to an upstream is kept.
 )
 
-// Gated is one such process. Open makes it.
+// Gated is the process of one entry. Open creates it.
 type Gated struct {
-	set    *local.Local
-	log    logr.Logger
-	gate   *gate.Gate
-	watch  *watch.Watch
-	grant  *grant.Grant
-	mesh   *mesh.Mesh
-	client *client.Client
-	sup    *suture.Supervisor
-	front  *httpd.Httpd
+	settings   *local.Local
+	log        logr.Logger
+	gate       *gate.Gate
+	watch      *watch.Watch
+	grant      *grant.Grant
+	mesh       *mesh.Mesh
+	client     *client.Client
+	supervisor *suture.Supervisor
+	callers    *httpd.Httpd
 }
 
-// Open binds the entry's addresses. The gate comes with its dialect set.
-func Open(set *local.Local, g *gate.Gate, echo string, parse func(doc []byte) (*conf.Config, error), log logr.Logger) (*Gated, error) {
-	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(set.MemoryMB<<20)))
+// Open binds the addresses of the entry and connects its services. g must have its Dialect set;
+// Open sets the other fields.
+func Open(settings *local.Local, g *gate.Gate, echoHeader string, parseConfig func(doc []byte) (*conf.Config, error), log logr.Logger) (*Gated, error) {
+	if settings.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(settings.MemoryMB<<20)))
 	}
 	incarnation := uuid.NewString()[:8]
-	e := &Gated{set: set, log: log.WithName("gate"), gate: g, client: &client.Client{Echo: echo, Idle: idleConns}}
-	lns, err := listen(set.ListenPeers().String(), set.Callers, set.Ready)
+	e := &Gated{settings: settings, log: log.WithName("gate"), gate: g, client: &client.Client{Echo: echoHeader, Idle: upstreamIdleTimeout}}
+	lns, err := listen(settings.ListenPeers().String(), settings.Callers, settings.Ready)
 	if err != nil {
 		return nil, err
 	}
 	metrics := stats.New()
 	metrics.Runtime()
-	e.mesh = &mesh.Mesh{Listen: lns[0], Self: set.Peers, Handle: nothing, Log: log.WithName("mesh")}
+	e.mesh = &mesh.Mesh{Listen: lns[0], Self: settings.Peers, Handle: rejectFrame, Log: log.WithName("mesh")}
 	e.watch = &watch.Watch{
-		Node: set.Node, Incarnation: incarnation, Centre: set.Centre, Self: set.Peers, Seeds: e.seeds, Mesh: e.mesh,
-		Parse: parse, Log: log.WithName("watch"),
+		Node: settings.Node, Incarnation: incarnation, Centre: settings.Centre, Self: settings.Peers, Seeds: e.seeds, Mesh: e.mesh,
+		Parse: parseConfig, Log: log.WithName("watch"),
 	}
 	e.grant = &grant.Grant{
-		Self: set.Node, Incarnation: incarnation, Local: none{}, Members: e.watch, Mesh: e.mesh, Log: log.WithName("grant"),
+		Self: settings.Node, Incarnation: incarnation, Local: noLocalScheduler{}, Members: e.watch, Mesh: e.mesh, Log: log.WithName("grant"),
 	}
 	e.watch.Changed, e.watch.Rates = e.grant.Changed, g.UsageRates
 	e.watch.Crashes, e.watch.Banned = g.KnownCrashes, g.SetBans
 	e.watch.Limits, e.watch.Limited = g.KnownLimits, g.SetLimits
-	g.Node, g.Incarnation, g.DataCentre = set.Node, incarnation, set.Centre
+	g.Node, g.Incarnation, g.DataCentre = settings.Node, incarnation, settings.Centre
 	g.Cluster, g.Granter, g.Sender, g.Prober, g.Trier, g.Stats, g.Log = e.watch, e.grant, e.client, e.client, e, metrics, e.log
 	metrics.Pull("configuration-version", func() int64 { return int64(e.watch.View().Version) }) //nolint:gosec // Versions are small.
 	metrics.Pull("configuration-age-ms", func() int64 { return time.Since(e.watch.View().Heard).Milliseconds() })
@@ -93,19 +98,19 @@
 		}
 		return 0
 	})
-	g.RetryRatio, g.RetrySlack, g.QuotaSlack = set.RetryRatio, set.RetrySlack, set.QuotaSlack
-	e.front = &httpd.Httpd{Listen: lns[1], Handler: g, Drain: set.DrainLimit - lingerFor - 2*drainOpen - stopMargin, DrainOpen: drainOpen}
+	g.RetryRatio, g.RetrySlack, g.QuotaSlack = settings.RetryRatio, settings.RetrySlack, settings.QuotaSlack
+	e.callers = &httpd.Httpd{Listen: lns[1], Handler: g, Drain: settings.DrainLimit - drainLinger - 2*keepAliveDrain - stopMargin, DrainOpen: keepAliveDrain}
 	ops := &admin.Admin{Stats: metrics, Ready: g.Ready}
-	e.sup = suture.New("gate", suture.Spec{EventHook: func(ev suture.Event) { e.log.Info("Part stopped.", "event", ev.String()) }})
-	for _, s := range []suture.Service{e.mesh, e.watch, e.grant, &httpd.Httpd{Listen: lns[2], Handler: ops.Handler(), DrainOpen: opsDrainOpen}} {
-		e.sup.Add(s)
+	e.supervisor = suture.New("gate", suture.Spec{EventHook: func(ev suture.Event) { e.log.Info("Supervisor event.", "event", ev.String()) }})
+	for _, s := range []suture.Service{e.mesh, e.watch, e.grant, &httpd.Httpd{Listen: lns[2], Handler: ops.Handler(), DrainOpen: adminKeepAliveDrain}} {
+		e.supervisor.Add(s)
 	}
-	if set.Metrics != "" {
-		ln, err := net.Listen("tcp", set.Metrics)
+	if settings.Metrics != "" {
+		ln, err := net.Listen("tcp", settings.Metrics)
 		if err != nil {
 			return nil, fmt.Errorf("gated: listen: %w", err)
 		}
-		e.sup.Add(&httpd.Httpd{Listen: ln, Handler: ops.Handler(), DrainOpen: opsDrainOpen})
+		e.supervisor.Add(&httpd.Httpd{Listen: ln, Handler: ops.Handler(), DrainOpen: adminKeepAliveDrain})
 	}
 	return e, nil
 }
@@ -125,28 +130,28 @@
 	return lns, nil
 }
 
-// seeds reads the settings anew: the file may change without a signal.
+// seeds re-reads the settings, since the file may change without a signal.
 func (e *Gated) seeds() []netip.AddrPort {
-	now, err := e.set.Reread()
+	current, err := e.settings.Reread()
 	if err != nil {
-		e.log.Info("Settings not read again; the former seeds stay.", "err", err.Error())
+		e.log.Info("Settings could not be read again; keeping the previous seeds.", "err", err.Error())
 	}
-	return now.SeedPeers()
+	return current.SeedPeers()
 }
 
-// Serve runs until ctx ends. The entry then says that it is not ready, still
-// serves until the balancer has seen it, and ends when no request is left.
+// Serve runs the entry until ctx ends. The entry then reports that it is not ready, keeps serving
+// until the load balancer has noticed, and stops once no request is left.
 func (e *Gated) Serve(ctx context.Context) error {
-	parts, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	servicesCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	done := e.sup.ServeBackground(parts)
-	go e.report(parts)
-	go e.reportSeen(parts)
-	fctx, fstop := context.WithCancel(parts)
-	defer fstop()
+	done := e.supervisor.ServeBackground(servicesCtx)
+	go e.reportUsage(servicesCtx)
+	go e.reportObservations(servicesCtx)
+	callersCtx, stopCallers := context.WithCancel(servicesCtx)
+	defer stopCallers()
 	served := make(chan error, 1)
-	go func() { served <- e.front.Serve(fctx) }()
-	e.log.Info("Entry serves.", "node", e.set.Node, "callers", e.set.Callers)
+	go func() { served <- e.callers.Serve(callersCtx) }()
+	e.log.Info("Entry serves.", "node", e.settings.Node, "callers", e.settings.Callers)
 	select {
 	case <-ctx.Done():
 	case err := <-served:
@@ -156,20 +161,20 @@
 	}
 	e.log.Info("Entry drains.")
 	now := time.Now()
-	e.gate.Drain(gate.DrainSchedule{RefuseFrom: now.Add(lingerFor), Deadline: now.Add(e.set.DrainLimit - stopMargin)})
-	time.Sleep(lingerFor)
-	fstop()
-	<-served //nolint:errcheck // It ended because it was told to.
+	e.gate.Drain(gate.DrainSchedule{RefuseFrom: now.Add(drainLinger), Deadline: now.Add(e.settings.DrainLimit - stopMargin)})
+	time.Sleep(drainLinger)
+	stopCallers()
+	<-served //nolint:errcheck // The server was stopped above.
 	cancel()
-	<-done //nolint:errcheck // The parts ended because they were told to.
+	<-done //nolint:errcheck // The services were stopped above.
 	e.client.Close()
 	e.log.Info("Entry stopped.")
 	return nil
 }
 
-// report tells the scheduler what accounts used without asking it.
-func (e *Gated) report(ctx context.Context) {
-	tick := time.NewTicker(usageEvery)
+// reportUsage periodically tells the scheduler the usage of accounts that it has not seen.
+func (e *Gated) reportUsage(ctx context.Context) {
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -186,17 +191,17 @@
 		if u == nil || err != nil {
 			continue
 		}
-		sctx, cancel := context.WithTimeout(ctx, usageEvery)
+		sctx, cancel := context.WithTimeout(ctx, reportInterval)
 		if err := e.mesh.Send(sctx, to, &wire.Frame{Body: &wire.Frame_Usage{Usage: u}}); err != nil {
-			e.log.V(1).Info("Usage not reported.", "err", err.Error())
+			e.log.V(1).Info("Account usage not reported to the scheduler.", "err", err.Error())
 		}
 		cancel()
 	}
 }
 
-// reportSeen tells the scheduler what answers have shown of upstreams and requests, as soon
-// as they do. One that is new hears all that this entry knows before it gets any ticket.
-func (e *Gated) reportSeen(ctx context.Context) {
+// reportObservations tells the scheduler at once which rate limits and crashes responses have
+// shown. A new scheduler receives everything that this entry knows before it gets any ticket.
+func (e *Gated) reportObservations(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -204,63 +209,63 @@
 		case <-e.gate.ReportsPending():
 		}
 		if l := e.gate.TakeLimitReports(); len(l) > 0 {
-			e.tellSeen(ctx, &wire.Frame{Body: &wire.Frame_Limits{Limits: &wire.Limits{Limits: l}}})
+			e.sendReport(ctx, &wire.Frame{Body: &wire.Frame_Limits{Limits: &wire.Limits{Limits: l}}})
 		}
 		c := e.gate.TakeCrashReports()
-		if len(c.GetCrashes())+len(c.GetCleared()) == 0 || e.tellSeen(ctx, &wire.Frame{Body: &wire.Frame_Crashes{Crashes: c}}) {
+		if len(c.GetCrashes())+len(c.GetCleared()) == 0 || e.sendReport(ctx, &wire.Frame{Body: &wire.Frame_Crashes{Crashes: c}}) {
 			continue
 		}
 		e.gate.RequeueCrashReports(c)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(usageEvery):
+		case <-time.After(reportInterval):
 		}
 	}
 }
 
-// tellSeen reports whether the scheduler has taken a report. A limit that got lost is
-// named in the next answer.
-func (e *Gated) tellSeen(ctx context.Context, f *wire.Frame) bool {
-	if err := e.tell(ctx, e.watch.Owner(""), f); err != nil {
-		e.log.Info("Report not taken.", "err", err.Error())
+// sendReport sends a report to the scheduler and returns whether the scheduler accepted it. A lost
+// report of a rate limit needs no retry: the next response announces the limit again.
+func (e *Gated) sendReport(ctx context.Context, f *wire.Frame) bool {
+	if err := e.callScheduler(ctx, e.watch.Owner(""), f); err != nil {
+		e.log.Info("Report not accepted by the scheduler.", "err", err.Error())
 		return false
 	}
 	return true
 }
 
-// Try asks the scheduler for leave to send a banned request once.
+// Try asks the scheduler for permission to send a banned request once.
 func (e *Gated) Try(ctx context.Context, d digest.Digest) error {
-	return e.tell(ctx, e.watch.Owner(""), &wire.Frame{Body: &wire.Frame_Try{Try: &wire.Try{Digest: d[:]}}})
+	return e.callScheduler(ctx, e.watch.Owner(""), &wire.Frame{Body: &wire.Frame_Try{Try: &wire.Try{Digest: d[:]}}})
 }
 
-func (e *Gated) tell(ctx context.Context, owner *wire.Member, f *wire.Frame) error {
+func (e *Gated) callScheduler(ctx context.Context, owner *wire.Member, f *wire.Frame) error {
 	to, err := netip.ParseAddrPort(owner.GetAddress())
 	if err != nil {
-		return fmt.Errorf("gated: no scheduler: %w", err)
+		return fmt.Errorf("gated: no scheduler known: %w", err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellLimit)
+	ctx, cancel := context.WithTimeout(ctx, schedulerTimeout)
 	defer cancel()
 	if _, err := e.mesh.Call(ctx, to, f); err != nil {
-		return fmt.Errorf("gated: tell the scheduler: %w", err)
+		return fmt.Errorf("gated: call the scheduler: %w", err)
 	}
 	return nil
 }
 
-// none is the granting part's own scheduler: an entry for routes has none.
-type none struct{}
+// noLocalScheduler stands for the scheduler in this process: an entry for routes has none.
+type noLocalScheduler struct{}
 
-// Submit is never called: no owner is this process.
-func (none) Submit(context.Context, *wire.Ticket) (*wire.Decision, error) {
+// Submit is never called, as this process never owns a pool.
+func (noLocalScheduler) Submit(context.Context, *wire.Ticket) (*wire.Decision, error) {
 	return nil, grant.ErrNoOwner
 }
 
 // Release is never called.
-func (none) Release(*wire.Release) {}
+func (noLocalScheduler) Release(*wire.Release) {}
 
 // Hold is never called.
-func (none) Hold(*wire.Held) {}
+func (noLocalScheduler) Hold(*wire.Held) {}
 
-func nothing(context.Context, *wire.Frame) (*wire.Frame, error) {
+func rejectFrame(context.Context, *wire.Frame) (*wire.Frame, error) {
 	return nil, &wire.Fault{Code: "unsupported", Text: "an entry for routes answers nothing"}
 }
