--- a/io/gate/gate_test.go
+++ b/io/gate/gate_test.go
@@ -63,9 +63,9 @@
 	must.Eq(t, "", got.Header.Get("Authorization"))
 }
 
-// The first upstream fails in every possible way. The second one receives the request only if the
-// first states that nothing ran, or if the request may be repeated. Otherwise the caller learns
-// that the request may have run.
+// The first upstream ends a request in every possible way. The second one receives the request only
+// if the first states that nothing ran, or if the request may be repeated. Otherwise the caller
+// learns that the request may have run.
 func TestRetryAtSecondUpstream(t *testing.T) {
 	closes := func(_ int, _ *http.Request, w io.Writer) bool {
 		closeConn(w)
