--- a/core/form/form.go
+++ b/core/form/form.go
@@ -37,7 +37,7 @@
 
 // Next returns the change that a leader should propose now, or nil. Self is the
 // leader, others what it hears of the rest of the group.
-func (f Form) Next(self *wire.Replica, others []raft.Heard) *wire.Membership {
+func (f Form) Next(self *wire.Replica, others []raft.PeerStatus) *wire.Membership {
 	voters, centres := 1, map[string]int{self.GetDataCentre(): 1}
 	for _, o := range others {
 		if o.GetVoter() {
@@ -63,8 +63,8 @@
 // of one that stays away or whose disk was replaced. The group has one voter
 // too many until the next change removes that one. In this order a command is
 // always on as many disks as before.
-func (f Form) candidate(others []raft.Heard, centres map[string]int, voters int) *raft.Heard {
-	var away *raft.Heard
+func (f Form) candidate(others []raft.PeerStatus, centres map[string]int, voters int) *raft.PeerStatus {
+	var away *raft.PeerStatus
 	if voters >= f.Voters() {
 		away = f.away(others)
 		if away == nil {
@@ -72,9 +72,9 @@
 		}
 		centres[away.GetDataCentre()]--
 	}
-	var best *raft.Heard
+	var best *raft.PeerStatus
 	for i, o := range others {
-		if o.GetVoter() || !o.Current || o.Silence > present || centres[o.GetDataCentre()] >= f.perCentre() {
+		if o.GetVoter() || !o.CaughtUp || o.Silence > present || centres[o.GetDataCentre()] >= f.perCentre() {
 			continue
 		}
 		if best == nil || (away != nil && o.GetAddress() == away.GetAddress()) {
@@ -86,7 +86,7 @@
 
 // away is the voter to replace. One whose address has a learner with another
 // identity has lost its disk: it can't come back.
-func (f Form) away(others []raft.Heard) *raft.Heard {
+func (f Form) away(others []raft.PeerStatus) *raft.PeerStatus {
 	w := worst(others, true)
 	for i, o := range others {
 		if o.GetVoter() && replaced(o, others) {
@@ -101,7 +101,7 @@
 
 // replaced reports whether another replica speaks from the address of one that
 // is silent.
-func replaced(r raft.Heard, all []raft.Heard) bool {
+func replaced(r raft.PeerStatus, all []raft.PeerStatus) bool {
 	for _, o := range all {
 		if o.GetId() != r.GetId() && o.GetAddress() == r.GetAddress() && o.Silence < r.Silence {
 			return true
@@ -111,8 +111,8 @@
 }
 
 // worst is the longest silent voter or learner; one that was replaced goes first.
-func worst(others []raft.Heard, voter bool) *raft.Heard {
-	var w *raft.Heard
+func worst(others []raft.PeerStatus, voter bool) *raft.PeerStatus {
+	var w *raft.PeerStatus
 	for i, o := range others {
 		if o.GetVoter() != voter {
 			continue
@@ -127,7 +127,7 @@
 	return w
 }
 
-func remove(r *raft.Heard) *wire.Membership {
+func remove(r *raft.PeerStatus) *wire.Membership {
 	if r == nil {
 		return nil
 	}
--- a/core/form/form_test.go
+++ b/core/form/form_test.go
@@ -10,9 +10,9 @@
 	"azurelane/core/wire"
 )
 
-func replica(id, address, centre string, voter bool, silence time.Duration) raft.Heard {
-	return raft.Heard{
-		Replica: &wire.Replica{Id: id, Address: address, DataCentre: centre, Voter: voter}, Silence: silence, Current: silence < time.Second,
+func replica(id, address, centre string, voter bool, silence time.Duration) raft.PeerStatus {
+	return raft.PeerStatus{
+		Replica: &wire.Replica{Id: id, Address: address, DataCentre: centre, Voter: voter}, Silence: silence, CaughtUp: silence < time.Second,
 	}
 }
 
@@ -26,30 +26,30 @@
 	for _, tc := range []struct {
 		name   string
 		losses int
-		others []raft.Heard
+		others []raft.PeerStatus
 		want   string // Role and replica.
 	}{
-		{"complete", 1, []raft.Heard{replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, here)}, ""},
-		{"a voter stays away, nobody can replace it", 1, []raft.Heard{replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, away)}, ""},
-		{"a voter stays away, a learner is there", 1, []raft.Heard{
+		{"complete", 1, []raft.PeerStatus{replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, here)}, ""},
+		{"a voter stays away, nobody can replace it", 1, []raft.PeerStatus{replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, away)}, ""},
+		{"a voter stays away, a learner is there", 1, []raft.PeerStatus{
 			replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, away), replica("d", "d", "z3", learner, here),
 		}, "ROLE_VOTER d"},
-		{"the replaced voter goes next", 1, []raft.Heard{
+		{"the replaced voter goes next", 1, []raft.PeerStatus{
 			replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, away), replica("d", "d", "z3", voter, here),
 		}, "ROLE_NONE c"},
-		{"a voter came back with another disk", 1, []raft.Heard{
+		{"a voter came back with another disk", 1, []raft.PeerStatus{
 			replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, time.Second), replica("c2", "c", "z3", learner, here),
 		}, "ROLE_VOTER c2"},
-		{"a learner that has not caught up waits", 1, []raft.Heard{
+		{"a learner that has not caught up waits", 1, []raft.PeerStatus{
 			replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, away), replica("d", "d", "z3", learner, 2*time.Second),
 		}, ""},
-		{"voters are missing", 2, []raft.Heard{
+		{"voters are missing", 2, []raft.PeerStatus{
 			replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, here), replica("d", "d", "z1", learner, here),
 		}, "ROLE_VOTER d"},
-		{"no third voter of five in one data centre", 2, []raft.Heard{
+		{"no third voter of five in one data centre", 2, []raft.PeerStatus{
 			replica("b", "b", "z1", voter, here), replica("c", "c", "z2", voter, here), replica("d", "d", "z1", learner, here),
 		}, ""},
-		{"a learner that is gone leaves", 1, []raft.Heard{
+		{"a learner that is gone leaves", 1, []raft.PeerStatus{
 			replica("b", "b", "z2", voter, here), replica("c", "c", "z3", voter, here), replica("d", "d", "z3", learner, 2*time.Minute),
 		}, "ROLE_NONE d"},
 	} {
@@ -69,6 +69,6 @@
 // formed all the same.
 func TestFewDataCentres(t *testing.T) {
 	f := Form{Losses: 1, Centres: 1, Away: time.Second, Forget: time.Minute}
-	m := f.Next(&wire.Replica{Id: "a", DataCentre: "z1", Voter: true}, []raft.Heard{replica("b", "b", "z1", learner, 0)})
+	m := f.Next(&wire.Replica{Id: "a", DataCentre: "z1", Voter: true}, []raft.PeerStatus{replica("b", "b", "z1", learner, 0)})
 	must.Eq(t, "b", m.GetReplica())
 }
--- a/core/raft/cold_test.go
+++ b/core/raft/cold_test.go
@@ -49,7 +49,7 @@
 				for s.leader() == nil {
 					s.step()
 				}
-				must.Less(t, Election/2, s.t-from, must.Sprint("seed", seed))
+				must.Less(t, DefaultElectionTimeout/2, s.t-from, must.Sprint("seed", seed))
 				must.True(t, s.commit(s.leader(), "again"))
 				must.Eq(t, "", s.problems())
 			}
@@ -98,9 +98,9 @@
 		away := s.others(l.id)[0]
 		s.nodes[away].down = true
 		s.restart(s.others(away)...)
-		s.run(Election - simStep)
+		s.run(DefaultElectionTimeout - simStep)
 		must.Nil(t, s.leader())
-		s.run(5 * Election)
+		s.run(5 * DefaultElectionTimeout)
 		must.NotNil(t, s.leader())
 	}
 }
@@ -118,11 +118,11 @@
 		away := s.others(l.id)[0]
 		s.nodes[away].down = true
 		s.restart(s.others(away)...)
-		s.run(Election/coldQuorumAfter - simStep)
+		s.run(DefaultElectionTimeout/coldQuorumAfter - simStep)
 		must.Nil(t, s.leader())
-		s.run(Election / 2)
+		s.run(DefaultElectionTimeout / 2)
 		must.NotNil(t, s.leader(), must.Sprint("seed", seed))
-		must.False(t, s.leader().Leased(s.leader().clock(s)))
+		must.False(t, s.leader().HasLease(s.leader().clock(s)))
 	}
 }
 
@@ -204,7 +204,7 @@
 			s.step()
 		}
 		l := s.leader()
-		must.LessEq(t, Election, s.t-from, must.Sprint("seed ", seed))
-		s.stays(t, l, func() { s.run(2 * Election) })
+		must.LessEq(t, DefaultElectionTimeout, s.t-from, must.Sprint("seed ", seed))
+		s.stays(t, l, func() { s.run(2 * DefaultElectionTimeout) })
 	}
 }
--- a/core/raft/elect.go
+++ b/core/raft/elect.go
@@ -74,7 +74,7 @@
 	r.shift(leader, "a quorum voted for it", nil)
 	r.leader = r.ID
 	r.cold = cold{}
-	r.since, r.beatAt = r.now, r.now.Add(r.election()/(Election/Heartbeat))
+	r.since, r.beatAt = r.now, r.now.Add(r.election()/(DefaultElectionTimeout/DefaultHeartbeatInterval))
 	r.transfer, r.sent = "", false
 	r.peers = map[string]*progress{}
 	r.syncPeers()
--- a/core/raft/follow.go
+++ b/core/raft/follow.go
@@ -109,7 +109,7 @@
 		r.synced = min(r.synced, snap.GetIndex()-1)
 		r.commit, r.applied = snap.GetIndex(), snap.GetIndex()
 		r.confs = []conf{{snap.GetIndex(), snap.GetReplicas()}}
-		r.out.Install = snap
+		r.out.InstallSnapshot = snap
 	}
 	r.send(reply)
 }
--- a/core/raft/guard_test.go
+++ b/core/raft/guard_test.go
@@ -56,7 +56,7 @@
 	t.Helper()
 	term := l.Term()
 	while()
-	must.True(t, l.Leads())
+	must.True(t, l.IsLeader())
 	must.Eq(t, term, l.Term())
 	must.Eq(t, "", s.problems())
 }
@@ -76,8 +76,8 @@
 func TestLeaderCutOffStepsDown(t *testing.T) {
 	s, l := elected(5, 3)
 	s.isolate(l.id)
-	s.run(2 * Election)
-	must.False(t, l.Leads())
+	s.run(2 * DefaultElectionTimeout)
+	must.False(t, l.IsLeader())
 	must.False(t, s.propose(l, "lost"))
 }
 
@@ -108,7 +108,7 @@
 	for range 400 {
 		s.step()
 		for _, id := range s.others(l.id) {
-			if n := s.nodes[id]; n.Leads() {
+			if n := s.nodes[id]; n.IsLeader() {
 				s.propose(n, "newer")
 			}
 		}
@@ -148,7 +148,7 @@
 // acknowledges a newer entry: the old leader must read no more by its lease.
 func TestTransferEndsTheLease(t *testing.T) {
 	s, l := elected(11, 3)
-	s.perform(l, l.Transfer(l.clock(s)))
+	s.perform(l, l.TransferLeadership(l.clock(s)))
 	for _, o := range s.others(l.id) {
 		s.cut[[2]string{o, l.id}] = true
 	}
@@ -161,7 +161,7 @@
 	s := newSim(12, 3)
 	n := s.nodes["r0"]
 	ask := func(from string) bool {
-		s.t += 2 * Election
+		s.t += 2 * DefaultElectionTimeout
 		s.perform(n, n.Tick(n.clock(s)))
 		e := n.Step(n.clock(s), &wire.Raft{
 			From: from, To: n.id, Group: "g", Term: 5, Kind: wire.Raft_KIND_VOTE, LastIndex: 9, LastTerm: 4, Transfer: true,
@@ -189,7 +189,7 @@
 		From: "r1", To: n.id, Group: "g", Term: 2, Kind: wire.Raft_KIND_SNAPSHOT, Snapshot: &wire.Snapshot{Index: 50, Term: 2},
 	})
 	must.Eq(t, 100, n.log.last())
-	must.Eq(t, 50, n.Commit())
+	must.Eq(t, 50, n.CommitIndex())
 }
 
 // Both followers crash and restart while the leader's lease runs, then the
@@ -205,7 +205,7 @@
 	s.isolate(l.id)
 	asker := s.nodes[s.others(l.id)[0]]
 	s.perform(asker, asker.campaignNow())
-	for s.t < at+Lease {
+	for s.t < at+DefaultLeaseDuration {
 		s.step()
 		must.Eq(t, l, s.leader())
 	}
@@ -230,15 +230,15 @@
 	a.term, a.vote, a.role = 4, a.id, candidate
 	a.takeOver()
 	a.flush()
-	a.Writes()
-	a.Synced(a.clock(s))
+	a.WriteStarted()
+	a.WriteSynced(a.clock(s))
 	for _, tt := range []struct{ held, commit uint64 }{{2, 1}, {3, 3}} {
 		for _, id := range []string{"r1", "r2"} {
 			a.Step(a.clock(s), &wire.Raft{
 				From: id, To: a.id, Group: "g", Term: 4, Kind: wire.Raft_KIND_APPEND_REPLY, Granted: true, LastIndex: tt.held,
 			})
 		}
-		must.Eq(t, tt.commit, a.Commit())
+		must.Eq(t, tt.commit, a.CommitIndex())
 	}
 }
 
@@ -314,7 +314,7 @@
 // leader must not send the snapshot again for each; once it is overdue, it must.
 func TestSnapshotIsSentAgainOnlyWhenOverdue(t *testing.T) {
 	s, l := elected(14, 3)
-	for range 2 * KeepEntries {
+	for range 2 * TrailingEntries {
 		s.propose(l, "x")
 		s.step()
 	}
@@ -337,9 +337,9 @@
 			s.perform(l, e)
 		}
 	}
-	refuse(Election - 2*simStep)
+	refuse(DefaultElectionTimeout - 2*simStep)
 	must.Eq(t, 1, sent)
-	refuse(Election)
+	refuse(DefaultElectionTimeout)
 	must.Eq(t, 2, sent)
 }
 
@@ -359,15 +359,15 @@
 	for range 300 {
 		s.step()
 		silence, heard := back.Silence(back.clock(s))
-		if heard && silence < Election && back.Commit() < l.Commit() {
-			must.True(t, back.Lags())
+		if heard && silence < DefaultElectionTimeout && back.CommitIndex() < l.CommitIndex() {
+			must.True(t, back.BehindLeader())
 			lagged++
 		}
 	}
 	must.Positive(t, lagged)
-	must.Eq(t, l.Commit(), back.Commit())
-	must.False(t, back.Lags())
-	must.False(t, l.Lags())
+	must.Eq(t, l.CommitIndex(), back.CommitIndex())
+	must.False(t, back.BehindLeader())
+	must.False(t, l.BehindLeader())
 	must.Eq(t, "", s.problems())
 }
 
@@ -405,11 +405,11 @@
 		must.Less(t, l.log.last(), l.index, must.Sprint("one disk is no quorum"))
 		for _, p := range l.Peers(l.clock(s)) {
 			if p.GetId() == full.id {
-				must.Less(t, Election, p.Silence)
+				must.Less(t, DefaultElectionTimeout, p.Silence)
 			}
 		}
 		full.full = false
-		s.run(Election)
+		s.run(DefaultElectionTimeout)
 		must.Eq(t, l.log.last(), l.index)
 	})
 }
@@ -429,7 +429,7 @@
 		for _, n := range s.nodes {
 			n.full = false
 		}
-		s.run(Election)
+		s.run(DefaultElectionTimeout)
 		must.Greater(t, was, s.acked)
 	})
 }
@@ -456,7 +456,7 @@
 	r := &Raft{ID: "a", Rand: rand.New(rand.NewPCG(1, 2))}
 	now := time.Unix(1000, 0)
 	list := []*wire.Replica{{Id: "a", Voter: true}, {Id: "b", Voter: true}, {Id: "c", Voter: true}}
-	r.Start(now, Found("g", list, nil), nil)
+	r.Start(now, BootstrapSnapshot("g", list, nil), nil)
 	appended := func(from string, term uint64) {
 		r.Step(now, &wire.Raft{
 			From: from, To: "a", Group: "g", Term: term, Kind: wire.Raft_KIND_APPEND, LastIndex: 1, LastTerm: 1,
@@ -464,11 +464,11 @@
 		})
 	}
 	appended("b", 2)
-	r.Writes()
+	r.WriteStarted()
 	appended("c", 3)
-	r.Synced(now)
+	r.WriteSynced(now)
 	must.Eq(t, 1, r.synced)
-	r.Writes()
-	r.Synced(now)
+	r.WriteStarted()
+	r.WriteSynced(now)
 	must.Eq(t, 2, r.synced)
 }
--- a/core/raft/journal.go
+++ b/core/raft/journal.go
@@ -55,7 +55,7 @@
 	size := 0
 	for n, e := range all {
 		size += proto.Size(e)
-		if n > 0 && size > MaxBatch {
+		if n > 0 && size > MaxBatchBytes {
 			return all[:n:n]
 		}
 	}
--- a/core/raft/lead.go
+++ b/core/raft/lead.go
@@ -8,18 +8,18 @@
 	"azurelane/core/wire"
 )
 
-// Lease is how long after it was sent a round that a quorum answered lets the
+// DefaultLeaseDuration is how long after it was sent a round that a quorum answered lets the
 // leader read locally. Followers keep their promise for Election on their own
 // clocks, counted from a later moment. So reads are never stale as long as no
 // clock runs at less than half the speed of another, or stands still unseen
 // (a paused VM) for more than Election/4: the rest covers jumps of followers'
 // clocks too short to be seen as gaps.
-const Lease = Election / 2
+const DefaultLeaseDuration = DefaultElectionTimeout / 2
 
 const (
 	// snapshotRetry is when a snapshot is sent again to a replica that answers
 	// nothing at all.
-	snapshotRetry = 30 * Election
+	snapshotRetry = 30 * DefaultElectionTimeout
 	// snapshotRate is the slowest link that a snapshot is expected to pass, in
 	// bytes a second.
 	snapshotRate = 4 << 20
@@ -40,10 +40,10 @@
 	round    time.Time // When the newest round that it answered was sent.
 }
 
-// Leased reports whether the leader may read locally at this time: its lease
+// HasLease reports whether the leader may read locally at this time: its lease
 // runs and it has committed an entry of its own term, below which all that was
 // ever acknowledged is applied.
-func (r *Raft) Leased(now time.Time) bool {
+func (r *Raft) HasLease(now time.Time) bool {
 	r.advance(now)
 	if r.role != leader || r.sent || r.Leaseless {
 		return false
@@ -102,7 +102,7 @@
 		return
 	}
 	if !r.now.Before(r.beatAt) {
-		r.beatAt = r.now.Add(r.election() / (Election / Heartbeat))
+		r.beatAt = r.now.Add(r.election() / (DefaultElectionTimeout / DefaultHeartbeatInterval))
 		r.spread(true)
 	}
 }
--- a/core/raft/member.go
+++ b/core/raft/member.go
@@ -18,10 +18,10 @@
 // Replicas lists the members of the group as this replica knows them.
 func (r *Raft) Replicas() []*wire.Replica { return r.confs[len(r.confs)-1].replicas }
 
-// Change proposes to add a learner, to make one a voter, to remove a replica
+// ChangeMembership proposes to add a learner, to make one a voter, to remove a replica
 // or to change its address. One change at a time: two sets that differ by one
 // replica always share a member of any two quorums.
-func (r *Raft) Change(now time.Time, m *wire.Membership) (uint64, Effects, error) {
+func (r *Raft) ChangeMembership(now time.Time, m *wire.Membership) (uint64, Effects, error) {
 	r.advance(now)
 	if err := r.mayChange(m); err != nil {
 		return 0, r.flush(), err
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// Transfer lets the voter that is furthest take over, for a leader that is
+// TransferLeadership lets the voter that is furthest take over, for a leader that is
 // about to stop. It takes no proposals from then on.
-func (r *Raft) Transfer(now time.Time) Effects {
+func (r *Raft) TransferLeadership(now time.Time) Effects {
 	r.advance(now)
 	if r.role != leader || r.transfer != "" {
 		return r.flush()
--- a/core/raft/raft.go
+++ b/core/raft/raft.go
@@ -31,12 +31,12 @@
 
 // Default times and bounds.
 const (
-	Heartbeat   = 100 * time.Millisecond // Between two rounds of the leader.
-	Election    = time.Second            // Shortest silence before an election; the longest is twice that.
-	MaxBatch    = 1 << 20                // Bytes of entries in one message.
+	DefaultHeartbeatInterval   = 100 * time.Millisecond // Between two rounds of the leader.
+	DefaultElectionTimeout    = time.Second            // Shortest silence before an election; the longest is twice that.
+	MaxBatchBytes    = 1 << 20                // Bytes of entries in one message.
 	MaxInflight = 16                     // Unanswered messages with entries to one replica.
-	MaxPending  = 4096                   // Entries of the leader that wait to be committed.
-	KeepEntries = 500                    // Entries kept behind a snapshot for replicas that lag a little.
+	MaxUncommitted  = 4096                   // Entries of the leader that wait to be committed.
+	TrailingEntries = 500                    // Entries kept behind a snapshot for replicas that lag a little.
 )
 
 type role int
@@ -53,9 +53,9 @@
 	Raft struct {
 		ID   string     // Identity of the data folder.
 		Rand *rand.Rand // Spreads election timeouts.
-		// Timeout is the shortest silence before an election, the same at all
+		// ElectionTimeout is the shortest silence before an election, the same at all
 		// replicas; heartbeats and the lease go with it. Zero takes Election.
-		Timeout time.Duration
+		ElectionTimeout time.Duration
 		// Leaseless says that nobody reads locally under a lease, at any replica of
 		// the group: reads go through the log. Less has to be known then to elect a
 		// leader soon after replicas have started together.
@@ -100,12 +100,12 @@
 
 	// Effects is what the caller must do after a call, in the order of the fields.
 	Effects struct {
-		Install   *wire.Snapshot // Replaces the state machine, and on disk, with Tail, the whole log.
+		InstallSnapshot   *wire.Snapshot // Replaces the state machine, and on disk, with Tail, the whole log.
 		Records   []*wire.Record // To append and sync; part of Tail when Install is set.
 		Messages  []*wire.Raft   // To send; losing some is harmless.
-		Promises  []*wire.Raft   // To send once all records so far are synced; see Writes.
+		MessagesAfterSync  []*wire.Raft   // To send once all records so far are synced; see Writes.
 		Committed []*wire.LogEntry
-		Shifts    []Shift // Changes of role, for the log alone.
+		RoleChanges    []RoleChange // Changes of role, for the log alone.
 		Err       error   // The replica must stop at once and do nothing else.
 	}
 )
@@ -153,9 +153,9 @@
 	}
 }
 
-// Found returns the snapshot that starts a new group. The caller must be sure
+// BootstrapSnapshot returns the snapshot that starts a new group. The caller must be sure
 // that no replica in the list belongs to a group already.
-func Found(group string, replicas []*wire.Replica, data []byte) *wire.Snapshot {
+func BootstrapSnapshot(group string, replicas []*wire.Replica, data []byte) *wire.Snapshot {
 	return &wire.Snapshot{Index: 1, Term: 1, Data: data, Replicas: replicas, Group: group}
 }
 
@@ -209,7 +209,7 @@
 	if r.role != leader || r.transfer != "" {
 		return 0, r.flush(), ErrNotLeader
 	}
-	if r.log.last()+uint64(len(commands)) > r.commit+MaxPending {
+	if r.log.last()+uint64(len(commands)) > r.commit+MaxUncommitted {
 		return 0, r.flush(), ErrBusy
 	}
 	first := r.log.last() + 1
@@ -235,16 +235,16 @@
 		return
 	}
 	r.log.snap = snap
-	if snap.GetIndex() > KeepEntries {
-		r.log.dropTo(snap.GetIndex() - KeepEntries)
+	if snap.GetIndex() > TrailingEntries {
+		r.log.dropTo(snap.GetIndex() - TrailingEntries)
 	}
 	for len(r.confs) > 1 && r.confs[1].index <= snap.GetIndex() {
 		r.confs = r.confs[1:]
 	}
 }
 
-// Tail returns the records that follow the newest snapshot on disk.
-func (r *Raft) Tail() []*wire.Record {
+// LogRecords returns the records that follow the newest snapshot on disk.
+func (r *Raft) LogRecords() []*wire.Record {
 	recs := []*wire.Record{r.hard()}
 	for _, e := range r.log.entries {
 		recs = append(recs, &wire.Record{Kind: &wire.Record_Entry{Entry: e}})
@@ -258,40 +258,40 @@
 // Term is the newest term that the replica knows.
 func (r *Raft) Term() uint64 { return r.term }
 
-// Commit is the index of the last committed entry known here.
-func (r *Raft) Commit() uint64 { return r.commit }
+// CommitIndex is the index of the last committed entry known here.
+func (r *Raft) CommitIndex() uint64 { return r.commit }
 
-// Lags reports whether a leader has named a later commit than this replica
+// BehindLeader reports whether a leader has named a later commit than this replica
 // knows: it hears the leader and still has the log of before its cut.
-func (r *Raft) Lags() bool { return r.commit < r.told }
+func (r *Raft) BehindLeader() bool { return r.commit < r.told }
 
-// Leads reports whether this replica is the leader, as far as it knows.
-func (r *Raft) Leads() bool { return r.role == leader }
+// IsLeader reports whether this replica is the leader, as far as it knows.
+func (r *Raft) IsLeader() bool { return r.role == leader }
 
 // Leader is the identity of the leader, empty when none is known.
 func (r *Raft) Leader() string { return r.leader }
 
-// Heard is what a leader knows of another replica of the group.
-type Heard struct {
+// PeerStatus is what a leader knows of another replica of the group.
+type PeerStatus struct {
 	*wire.Replica
 	Silence time.Duration // Since its last answer.
-	Current bool          // It holds all that is committed.
+	CaughtUp bool          // It holds all that is committed.
 }
 
 // Peers lists the other replicas as the leader hears them, none elsewhere.
-func (r *Raft) Peers(now time.Time) []Heard {
+func (r *Raft) Peers(now time.Time) []PeerStatus {
 	r.advance(now)
 	if r.role != leader {
 		return nil
 	}
-	var list []Heard
+	var list []PeerStatus
 	for _, p := range r.Replicas() {
 		if pr := r.peers[p.GetId()]; pr != nil {
 			since := pr.heard
 			if since.Before(pr.added) {
 				since = pr.added // It has had no time to answer yet.
 			}
-			list = append(list, Heard{Replica: p, Silence: r.now.Sub(since), Current: pr.match >= r.commit})
+			list = append(list, PeerStatus{Replica: p, Silence: r.now.Sub(since), CaughtUp: pr.match >= r.commit})
 		}
 	}
 	return list
@@ -320,10 +320,10 @@
 	return out
 }
 
-func (r *Raft) election() time.Duration { return cmp.Or(r.Timeout, Election) }
+func (r *Raft) election() time.Duration { return cmp.Or(r.ElectionTimeout, DefaultElectionTimeout) }
 
 // lease is Lease for the timeout in use.
-func (r *Raft) lease() time.Duration { return r.election() / (Election / Lease) }
+func (r *Raft) lease() time.Duration { return r.election() / (DefaultElectionTimeout / DefaultLeaseDuration) }
 
 // advance moves the replica's time, which never goes back.
 func (r *Raft) advance(now time.Time) {
@@ -365,7 +365,7 @@
 		m.Term = r.term
 	}
 	if promises(m) {
-		r.out.Promises = append(r.out.Promises, m)
+		r.out.MessagesAfterSync = append(r.out.MessagesAfterSync, m)
 		return
 	}
 	r.out.Messages = append(r.out.Messages, m)
@@ -386,14 +386,14 @@
 	return false
 }
 
-// Writes says that the caller begins to write all records given out so far. One write
+// WriteStarted says that the caller begins to write all records given out so far. One write
 // is under way at a time; the replica goes on meanwhile.
-func (r *Raft) Writes() { r.writes = mark{r.log.last(), r.log.lastTerm()} }
+func (r *Raft) WriteStarted() { r.writes = mark{r.log.last(), r.log.lastTerm()} }
 
-// Synced says that what the last Writes spoke of is on disk. A leader counts itself
+// WriteSynced says that what the last Writes spoke of is on disk. A leader counts itself
 // for an entry only then, so that it may send the entry on before: with a slow or full
 // disk of its own it commits by the disks of the others.
-func (r *Raft) Synced(now time.Time) Effects {
+func (r *Raft) WriteSynced(now time.Time) Effects {
 	r.advance(now)
 	r.stalled = false
 	// Entries may have been replaced by another leader's during the write.
@@ -404,6 +404,6 @@
 	return r.flush()
 }
 
-// Stall says that the disk takes nothing for now, or not soon. A follower then takes no entries that
+// DiskStalled says that the disk takes nothing for now, or not soon. A follower then takes no entries that
 // it can't keep, and says so, so that the leader still hears it.
-func (r *Raft) Stall() { r.stalled = true }
+func (r *Raft) DiskStalled() { r.stalled = true }
--- a/core/raft/raft_test.go
+++ b/core/raft/raft_test.go
@@ -37,7 +37,7 @@
 		n.offset += time.Duration(s.rnd.Int64N(int64(8*time.Second))) - 4*time.Second
 	case 8:
 		if l := s.leader(); l != nil {
-			s.perform(l, l.Transfer(l.clock(s)))
+			s.perform(l, l.TransferLeadership(l.clock(s)))
 		}
 	case 9:
 		n.full = !n.full
@@ -89,7 +89,7 @@
 				s.reshape(6)
 			}
 			for _, id := range s.names {
-				if n := s.nodes[id]; n.runs(s) && n.Leads() && s.rnd.IntN(4) == 0 {
+				if n := s.nodes[id]; n.runs(s) && n.IsLeader() && s.rnd.IntN(4) == 0 {
 					s.propose(n, fmt.Sprint(id, i))
 				}
 			}
@@ -170,8 +170,8 @@
 	s.run(4 * time.Second)
 	l := s.leader()
 	must.True(t, s.commit(l, "a"))
-	must.Eq(t, l.Commit(), s.acked)
-	s.perform(l, l.Transfer(l.clock(s)))
+	must.Eq(t, l.CommitIndex(), s.acked)
+	s.perform(l, l.TransferLeadership(l.clock(s)))
 	must.False(t, s.propose(l, "b"))
 	s.run(500 * time.Millisecond)
 	must.NotNil(t, s.leader())
@@ -186,7 +186,7 @@
 	s := newSim(2, 3)
 	s.run(4 * time.Second)
 	l := s.leader()
-	for i := range 2 * KeepEntries {
+	for i := range 2 * TrailingEntries {
 		s.propose(l, strconv.Itoa(i))
 		if i%10 == 0 {
 			s.step()
--- a/core/raft/reach_test.go
+++ b/core/raft/reach_test.go
@@ -41,13 +41,13 @@
 			for len(s.cutOff()) == 0 {
 				s.step()
 			}
-			must.LessEq(t, 5*Election/4, s.t-from, must.Sprint("a leader steps down first"))
+			must.LessEq(t, 5*DefaultElectionTimeout/4, s.t-from, must.Sprint("a leader steps down first"))
 			for range 300 {
 				s.step()
 				must.Eq(t, []string{id}, s.cutOff())
 			}
 			s.join()
-			s.run(Election)
+			s.run(DefaultElectionTimeout)
 			must.Eq(t, 0, len(s.cutOff()))
 			must.Eq(t, "", s.problems())
 		})
@@ -65,7 +65,7 @@
 		} else {
 			s.loss = 0.3
 		}
-		for range int(3 * Election / simStep) {
+		for range int(3 * DefaultElectionTimeout / simStep) {
 			s.step()
 			must.Eq(t, 0, len(s.cutOff()), must.Sprint("seed ", seed))
 		}
--- a/core/raft/shift.go
+++ b/core/raft/shift.go
@@ -6,16 +6,16 @@
 	"azurelane/core/wire"
 )
 
-// Shift is a change of a replica's role with what decided it, for its log. Who
+// RoleChange is a change of a replica's role with what decided it, for its log. Who
 // reads it afterwards can tell a leader that was cut off from one whose own
 // process came too late to its turns.
-type Shift struct {
+type RoleChange struct {
 	Role    string        // The one taken on.
-	Why     string        // A short sentence.
+	Reason     string        // A short sentence.
 	Term    uint64        // Known afterwards.
 	From    string        // Identity of the replica whose message decided it, empty for none.
 	Silence time.Duration // Since a leader was heard; at a leader, since the round that a quorum answered.
-	Late    time.Duration // The longest time between two turns of this replica of late.
+	LongestPause    time.Duration // The longest time between two turns of this replica of late.
 }
 
 // String names a role in logs.
@@ -37,8 +37,8 @@
 		}
 	}
 	r.role = to
-	r.out.Shifts = append(r.out.Shifts, Shift{
-		Role: to.String(), Why: why, Term: r.term, From: from.GetFrom(), Silence: r.now.Sub(at), Late: r.pauses.longest(),
+	r.out.RoleChanges = append(r.out.RoleChanges, RoleChange{
+		Role: to.String(), Reason: why, Term: r.term, From: from.GetFrom(), Silence: r.now.Sub(at), LongestPause: r.pauses.longest(),
 	})
 }
 
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -94,7 +94,7 @@
 	}
 	// One founds the group; the others learn of it like any replica that lags.
 	first := s.nodes[list[0].GetId()]
-	first.snap = Found("g", list, make([]byte, 8))
+	first.snap = BootstrapSnapshot("g", list, make([]byte, 8))
 	s.start(first)
 	return s
 }
@@ -142,7 +142,7 @@
 		return
 	}
 	if n.crash == 1 && len(e.Records) > 0 { // Before the sync: a part was written.
-		if e.Install == nil && !n.full && n.job == nil {
+		if e.InstallSnapshot == nil && !n.full && n.job == nil {
 			n.recs = append(n.recs, e.Records[:s.rnd.IntN(len(e.Records))]...)
 		}
 		n.down = true
@@ -152,13 +152,13 @@
 		s.post(m)
 	}
 	w := &n.unkept
-	if e.Install != nil {
-		w.snap, w.recs = e.Install, nil
-		n.install(e.Install)
+	if e.InstallSnapshot != nil {
+		w.snap, w.recs = e.InstallSnapshot, nil
+		n.install(e.InstallSnapshot)
 	} else {
 		w.recs = append(w.recs, e.Records...)
 	}
-	w.held = append(w.held, e.Promises...)
+	w.held = append(w.held, e.MessagesAfterSync...)
 	for _, c := range e.Committed {
 		s.apply(n, c)
 	}
@@ -166,7 +166,7 @@
 		return
 	}
 	if n.full && w.waits() {
-		n.Stall()
+		n.DiskStalled()
 		return
 	}
 	s.write(n)
@@ -177,9 +177,9 @@
 	w := n.unkept
 	n.unkept, n.job = write{}, &w
 	if w.snap != nil {
-		w.recs = n.Tail()
+		w.recs = n.LogRecords()
 	}
-	n.Writes()
+	n.WriteStarted()
 	if n.slow > 0 && len(w.recs) > 0 {
 		w.end = s.t + time.Duration(s.rnd.Int64N(int64(n.slow)))
 		return
@@ -202,16 +202,16 @@
 	for _, m := range w.held {
 		s.post(m)
 	}
-	if after := n.Synced(n.clock(s)); len(after.Committed) > 0 || len(after.Messages) > 0 || n.unkept.waits() {
+	if after := n.WriteSynced(n.clock(s)); len(after.Committed) > 0 || len(after.Messages) > 0 || n.unkept.waits() {
 		s.perform(n, after)
 	}
 	if n.job == nil && !n.unkept.waits() && n.index >= n.snap.GetIndex()+40 {
 		n.snap = n.Snapshot()
 		n.snap.Data = binary.LittleEndian.AppendUint64(nil, n.sum)
 		n.Compact(n.snap)
-		n.recs = n.Tail()
+		n.recs = n.LogRecords()
 	}
-	if n.Leads() {
+	if n.IsLeader() {
 		s.checkLeader(n)
 	}
 }
@@ -230,7 +230,7 @@
 	}
 	n.index = e.GetIndex()
 	n.sum = n.sum*31 + e.GetTerm()
-	if n.Leads() {
+	if n.IsLeader() {
 		s.acked = max(s.acked, n.index)
 	}
 }
@@ -254,7 +254,7 @@
 }
 
 // answer is the message with which a replica answers another.
-func answer(e Effects) *wire.Raft { return append(e.Messages, e.Promises...)[0] }
+func answer(e Effects) *wire.Raft { return append(e.Messages, e.MessagesAfterSync...)[0] }
 
 func (s *sim) post(m *wire.Raft) {
 	n := 1
@@ -300,8 +300,8 @@
 	case n.job == nil:
 	case n.job.end <= s.t:
 		s.wrote(n)
-	case n.job.end > s.t+Heartbeat:
-		n.Stall()
+	case n.job.end > s.t+DefaultHeartbeatInterval:
+		n.DiskStalled()
 	}
 }
 
@@ -313,7 +313,7 @@
 
 // read holds that a leader under its lease knows all that was acknowledged.
 func (s *sim) read(n *node) {
-	if !n.down && s.leased && n.Leased(n.clock(s)) {
+	if !n.down && s.leased && n.HasLease(n.clock(s)) {
 		s.reads++
 		if n.index < s.acked {
 			s.fail("stale read at %s: %d before %d", n.id, n.index, s.acked)
@@ -324,7 +324,7 @@
 func (s *sim) leader() *node {
 	var best *node
 	for _, id := range s.names {
-		if n := s.nodes[id]; n.runs(s) && n.Leads() && (best == nil || n.Term() > best.Term()) {
+		if n := s.nodes[id]; n.runs(s) && n.IsLeader() && (best == nil || n.Term() > best.Term()) {
 			best = n
 		}
 	}
@@ -338,7 +338,7 @@
 }
 
 func (s *sim) change(n *node, id string, role wire.Membership_Role) error {
-	_, e, err := n.Change(n.clock(s), &wire.Membership{Replica: id, Role: role})
+	_, e, err := n.ChangeMembership(n.clock(s), &wire.Membership{Replica: id, Role: role})
 	s.perform(n, e)
 	return err
 }
--- a/io/ctrl/apply.go
+++ b/io/ctrl/apply.go
@@ -54,7 +54,7 @@
 
 // stamp sets the leader's clock in the commands that need the time.
 func (c *Ctrl) stamp(cmd *wire.Command, now time.Time) {
-	if !c.raft.Leads() {
+	if !c.raft.IsLeader() {
 		c.clock = clock{}
 		return
 	}
@@ -138,7 +138,7 @@
 	}
 	c.raft.Compact(s.snap) // It has this one already where its tail found no room before.
 	s.records = c.unkept.records
-	c.begin(&write{saved: &s, records: c.raft.Tail()})
+	c.begin(&write{saved: &s, records: c.raft.LogRecords()})
 }
 
 // install replaces log and state by a leader's snapshot.
@@ -173,9 +173,9 @@
 
 // noteShifts logs changes of this replica's role. There are some a second at most,
 // from the timers of elections.
-func (c *Ctrl) noteShifts(list []raft.Shift) {
+func (c *Ctrl) noteShifts(list []raft.RoleChange) {
 	for _, s := range list {
-		c.Log.Info("Role changed.", "role", s.Role, "why", s.Why, "term", s.Term, "from", c.addressOf(s.From),
-			"silence", s.Silence.String(), "longest-pause", s.Late.String())
+		c.Log.Info("Role changed.", "role", s.Role, "why", s.Reason, "term", s.Term, "from", c.addressOf(s.From),
+			"silence", s.Silence.String(), "longest-pause", s.LongestPause.String())
 	}
 }
--- a/io/ctrl/batch.go
+++ b/io/ctrl/batch.go
@@ -39,9 +39,9 @@
 func (b *batch) add(e raft.Effects) {
 	b.eff.Records = append(b.eff.Records, e.Records...)
 	b.eff.Messages = append(b.eff.Messages, e.Messages...)
-	b.eff.Promises = append(b.eff.Promises, e.Promises...)
+	b.eff.MessagesAfterSync = append(b.eff.MessagesAfterSync, e.MessagesAfterSync...)
 	b.eff.Committed = append(b.eff.Committed, e.Committed...)
-	b.ctrl.noteShifts(e.Shifts)
+	b.ctrl.noteShifts(e.RoleChanges)
 	if b.eff.Err == nil {
 		b.eff.Err = e.Err
 	}
@@ -60,8 +60,8 @@
 	}
 	c.peers.note(m)
 	e := c.raft.Step(time.Now(), m)
-	if e.Install != nil {
-		b.err = c.install(e.Install)
+	if e.InstallSnapshot != nil {
+		b.err = c.install(e.InstallSnapshot)
 		e.Records = nil // They are part of what install wrote.
 	}
 	b.add(e)
@@ -91,7 +91,7 @@
 		return err
 	}
 	c := b.ctrl
-	if !c.raft.Leads() {
+	if !c.raft.IsLeader() {
 		// Whether these are applied is the next leader's matter. Their senders
 		// ask it with the same ids.
 		for i, p := range c.waiting {
@@ -123,7 +123,7 @@
 	var props []*proposal
 	for _, p := range b.props {
 		if p.member != nil {
-			first, e, err := c.raft.Change(now, p.member)
+			first, e, err := c.raft.ChangeMembership(now, p.member)
 			b.proposed(first, e, err, p)
 			continue
 		}
@@ -176,7 +176,7 @@
 
 func (b *batch) expire() {
 	c, now := b.ctrl, time.Now()
-	if !c.raft.Leads() || now.Before(c.expire) {
+	if !c.raft.IsLeader() || now.Before(c.expire) {
 		return
 	}
 	c.expire = now.Add(expireEvery)
--- a/io/ctrl/bench_test.go
+++ b/io/ctrl/bench_test.go
@@ -185,7 +185,7 @@
 				s := <-l.saving
 				at = time.Now()
 				must.NoError(b, s.err)
-				must.NoError(b, s.put(l.raft.Tail()...))
+				must.NoError(b, s.put(l.raft.LogRecords()...))
 				loop += time.Since(at)
 			}
 			b.ReportMetric(float64(loop.Microseconds())/float64(b.N), "loop-us")
--- a/io/ctrl/ctrl.go
+++ b/io/ctrl/ctrl.go
@@ -129,7 +129,7 @@
 func (c *Ctrl) start(now time.Time, snap *wire.Snapshot, recs []*wire.Record) {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c.id))
-	c.raft = &raft.Raft{ID: c.id, Timeout: c.Election, Leaseless: c.Leaseless, Rand: rand.New(rand.NewPCG(h.Sum64(), uint64(now.UnixNano())))} //nolint:gosec // It spreads timeouts; no secret.
+	c.raft = &raft.Raft{ID: c.id, ElectionTimeout: c.Election, Leaseless: c.Leaseless, Rand: rand.New(rand.NewPCG(h.Sum64(), uint64(now.UnixNano())))} //nolint:gosec // It spreads timeouts; no secret.
 	c.raft.Start(now, snap, recs)
 	c.publish(now)
 }
@@ -198,7 +198,7 @@
 			return nil
 		case <-leave:
 			leave, leaving, c.left = nil, true, time.Now()
-			b.add(c.raft.Transfer(time.Now()))
+			b.add(c.raft.TransferLeadership(time.Now()))
 		case m := <-c.in:
 			b.step(m)
 		case p := <-c.props:
@@ -234,7 +234,7 @@
 	switch {
 	case time.Since(c.left) > leaveLimit:
 		return true
-	case c.raft.Leads():
+	case c.raft.IsLeader():
 		return !c.raft.Transferring()
 	}
 	return c.raft.Leader() != "" || c.raft.Group() == ""
--- a/io/ctrl/ctrl_test.go
+++ b/io/ctrl/ctrl_test.go
@@ -283,7 +283,7 @@
 		command(t, l, change("c2", 1))
 		// Shorter than the least election timeout, which counts from the last
 		// heartbeat: a replica that campaigns follows no leader and can tell.
-		time.Sleep(raft.Election / 2)
+		time.Sleep(raft.DefaultElectionTimeout / 2)
 		beat := func(r *replica, version uint64) *wire.BeatReply {
 			f, err := r.Handle(context.Background(), &wire.Frame{Body: &wire.Frame_Beat{Beat: &wire.Beat{Node: "entry-1", Version: version}}})
 			must.NoError(t, err)
--- a/io/ctrl/found.go
+++ b/io/ctrl/found.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return raft.Effects{Err: fmt.Errorf("ctrl: marshal image: %w", err)}
 	}
-	snap := raft.Found(uuid.NewString(), list, data)
+	snap := raft.BootstrapSnapshot(uuid.NewString(), list, data)
 	if err := c.store.Compact(snap); errors.Is(err, disk.ErrFull) {
 		c.Log.Error(err, "No group founded yet.")
 		return raft.Effects{}
--- a/io/ctrl/handle.go
+++ b/io/ctrl/handle.go
@@ -82,7 +82,7 @@
 func (c *Ctrl) leased(ctx context.Context, f func(now time.Time)) error {
 	var fault error
 	err := c.do(ctx, func(now time.Time) raft.Effects {
-		if c.raft.Leased(now) {
+		if c.raft.HasLease(now) {
 			f(now)
 		} else {
 			fault = c.notLeader()
--- a/io/ctrl/keep.go
+++ b/io/ctrl/keep.go
@@ -45,7 +45,7 @@
 
 func (u *unkept) add(e raft.Effects) {
 	u.records = append(u.records, e.Records...)
-	u.promises = append(u.promises, e.Promises...)
+	u.promises = append(u.promises, e.MessagesAfterSync...)
 }
 
 // waits reports whether anything has to be written.
@@ -73,7 +73,7 @@
 	case u.waits():
 		w := &write{install: u.install, records: u.records}
 		if w.install != nil {
-			w.records = c.raft.Tail()
+			w.records = c.raft.LogRecords()
 		}
 		c.begin(w)
 	default:
@@ -87,7 +87,7 @@
 	u := &c.unkept
 	w.promises, w.start, w.done = u.promises, time.Now(), make(chan error, 1)
 	u.install, u.records, u.promises, u.write = nil, nil, nil, w
-	c.raft.Writes()
+	c.raft.WriteStarted()
 	go func() {
 		err := c.put(w)
 		w.size = c.store.Size()
@@ -118,7 +118,7 @@
 			c.stall(err)
 			return raft.Effects{}, nil
 		}
-		return c.raft.Synced(time.Now()), nil // The log as it was has everything.
+		return c.raft.WriteSynced(time.Now()), nil // The log as it was has everything.
 	case err != nil:
 		return raft.Effects{}, err
 	}
@@ -133,7 +133,7 @@
 		c.snapped, c.snapSize = max(c.snapped, w.saved.snap.GetIndex()), int64(len(w.saved.snap.GetData()))
 	}
 	c.promise(ctx, w.promises)
-	return c.raft.Synced(time.Now()), nil
+	return c.raft.WriteSynced(time.Now()), nil
 }
 
 // restore puts back what could not be written.
@@ -165,14 +165,14 @@
 func (c *Ctrl) lookAtDisk(now time.Time) {
 	w := c.unkept.write
 	// A follower that answers nothing seems dead.
-	if w == nil || now.Sub(w.start) < cmp.Or(c.Election, raft.Election)/4 {
+	if w == nil || now.Sub(w.start) < cmp.Or(c.Election, raft.DefaultElectionTimeout)/4 {
 		return
 	}
 	if !w.slow {
 		w.slow = true
 		c.Log.Info("Disk is slow; this replica takes nothing new until it has kept what waits.")
 	}
-	c.raft.Stall()
+	c.raft.DiskStalled()
 }
 
 // stall notes that the disk is full.
@@ -182,5 +182,5 @@
 		c.Log.Error(err, "Disk is full; this replica keeps nothing new until there is room.")
 	}
 	u.full, u.retry = true, time.Now().Add(keepRetry)
-	c.raft.Stall()
+	c.raft.DiskStalled()
 }
--- a/io/ctrl/news.go
+++ b/io/ctrl/news.go
@@ -94,7 +94,7 @@
 
 // Group returns the group's name, empty for a replica in none, its replicas as
 // this one knows them, and, on the leader, how it hears the others.
-func (c *Ctrl) Group() (name string, all []*wire.Replica, peers []raft.Heard) {
+func (c *Ctrl) Group() (name string, all []*wire.Replica, peers []raft.PeerStatus) {
 	v := c.view.Load()
 	return v.GetGroup(), v.GetReplicas(), v.peers
 }
--- a/io/ctrl/view.go
+++ b/io/ctrl/view.go
@@ -22,7 +22,7 @@
 		silence     time.Duration // For how long no leader was heard, at that time.
 		heard       bool          // A leader was ever heard.
 		leads       bool
-		peers       []raft.Heard // Of a leader.
+		peers       []raft.PeerStatus // Of a leader.
 	}
 
 	// beats holds the last beat of each entry. The zero value is ready.
@@ -43,13 +43,13 @@
 	v.silence, v.heard = c.raft.Silence(now)
 	// A replica back from a cut hears the leader before it has caught up. Its
 	// old document must not be taken for the newest by an entry that starts.
-	v.heard = v.heard && !c.raft.Lags()
+	v.heard = v.heard && !c.raft.BehindLeader()
 	v.Replica, v.Address, v.Identity, v.DataCentre = c.Name, c.Address.String(), c.id, c.Centre
 	v.Leader, v.Term, v.Commit = c.addressOf(c.raft.Leader()), c.raft.Term(), c.applied
 	v.Version, v.Change, v.Document = c.state.Version(), c.state.Change(), c.state.Document()
 	v.Claims, v.Group, v.Bootstrap = uint64(c.state.Claims()), c.raft.Group(), c.Bootstrap //nolint:gosec // Not negative.
 	v.Replicas, v.peers = c.raft.Replicas(), c.raft.Peers(now)
-	v.leads, v.CutOff = c.raft.Leads(), c.raft.CutOff(now)
+	v.leads, v.CutOff = c.raft.IsLeader(), c.raft.CutOff(now)
 	if v.GetCutOff() {
 		v.Leader = "" // The one that it followed is on the other side.
 	}
--- a/io/form/form.go
+++ b/io/form/form.go
@@ -40,7 +40,7 @@
 		Identity() string
 		Leads() bool
 		Ready() bool // It hears a leader.
-		Group() (name string, all []*wire.Replica, peers []raft.Heard)
+		Group() (name string, all []*wire.Replica, peers []raft.PeerStatus)
 		Propose(ctx context.Context, c *wire.Command) (*wire.Result, error)
 	}
 
@@ -81,7 +81,7 @@
 }
 
 // repair proposes the next change of the group that this replica leads.
-func (f *Form) repair(ctx context.Context, all []*wire.Replica, peers []raft.Heard) error {
+func (f *Form) repair(ctx context.Context, all []*wire.Replica, peers []raft.PeerStatus) error {
 	var self *wire.Replica
 	for _, r := range all {
 		if r.GetId() == f.Replica.Identity() {
--- a/io/form/form_test.go
+++ b/io/form/form_test.go
@@ -22,7 +22,7 @@
 	leads    bool
 	ready    bool
 	all      []*wire.Replica
-	peers    []raft.Heard
+	peers    []raft.PeerStatus
 	listed   []*wire.Replica // By the leader.
 	proposed []*wire.Membership
 	asked    int
@@ -33,7 +33,7 @@
 func (f *fakeGroup) Leads() bool      { return f.leads }
 func (f *fakeGroup) Ready() bool      { return f.ready }
 
-func (f *fakeGroup) Group() (string, []*wire.Replica, []raft.Heard) { return f.name, f.all, f.peers }
+func (f *fakeGroup) Group() (string, []*wire.Replica, []raft.PeerStatus) { return f.name, f.all, f.peers }
 
 func (f *fakeGroup) Propose(_ context.Context, c *wire.Command) (*wire.Result, error) {
 	f.proposed = append(f.proposed, c.GetMembership())
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := &fakeGroup{
 			name: "g", leads: true, all: []*wire.Replica{{Id: "me", Voter: true}}, err: errors.New("busy"),
-			peers: []raft.Heard{{Replica: &wire.Replica{Id: "b", DataCentre: "z2"}, Current: true}},
+			peers: []raft.PeerStatus{{Replica: &wire.Replica{Id: "b", DataCentre: "z2"}, CaughtUp: true}},
 		}
 		f := &Form{Form: form.Form{Losses: 1, Centres: 3, Away: time.Second, Forget: time.Minute}, Replica: g, Leader: g, Log: logr.Discard()}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/io/hub/beats.go
+++ b/io/hub/beats.go
@@ -96,7 +96,7 @@
 func (h *Hub) reportCutOff(s *reign, rep *wire.Report) bool {
 	u := rep.GetUpstream()
 	known := h.Replica.Upstream(u.GetId())
-	if known == nil || known.GetDataCentre() != h.Centre || roster.Stale(known, u) || rep.GetDeregister() {
+	if known == nil || known.GetDataCentre() != h.DataCentre || roster.Stale(known, u) || rep.GetDeregister() {
 		return false
 	}
 	if !s.beats.newer(time.Now(), u, rep.GetSeq(), known) {
@@ -116,7 +116,7 @@
 
 // announce hands an upstream to the scheduler, with a lease of some beats.
 func (h *Hub) announce(r *reign, u *wire.Upstream, beats int) {
-	lease := time.Duration(beats)*h.Beat + h.Beat/2
+	lease := time.Duration(beats)*h.AnnounceInterval + h.AnnounceInterval/2
 	if a := r.beats.announce(u, r.limited(u.GetId()), lease); a != nil {
 		r.sched.Announce(a)
 	}
--- a/io/hub/hub.go
+++ b/io/hub/hub.go
@@ -23,8 +23,8 @@
 	"azurelane/io/stats"
 )
 
-// ErrUnsure is returned when this process can't tell what is in force.
-var ErrUnsure = errors.New("hub: no quorum answers")
+// ErrNoQuorum is returned when this process can't tell what is in force.
+var ErrNoQuorum = errors.New("hub: no quorum answers")
 
 // Fault codes of a hub.
 const (
@@ -37,15 +37,15 @@
 	Hub struct {
 		Replica replica
 		Leader  proposer
-		Centre  string                                 // Data centre of this replica.
+		DataCentre  string                                 // Data centre of this replica.
 		Parse   func(doc []byte) (*conf.Config, error) // Reads a published document.
 		Voters  int                                    // A publication is taken only from so many voters on.
-		Beat    time.Duration                          // Between two announcements of an upstream.
-		Over    float64                                // Part of rates that may be allowed beyond them.
-		Slack   float64                                // Units beyond that.
+		AnnounceInterval    time.Duration                          // Between two announcements of an upstream.
+		Overage    float64                                // Part of rates that may be allowed beyond them.
+		QuotaSlack   float64                                // Units beyond that.
 		Stats   *stats.Stats
 		Log     logr.Logger
-		Lines   logs.Budget // For the lines of refused tickets.
+		RefusalLog   logs.Budget // For the lines of refused tickets.
 
 		mu       sync.Mutex
 		reign    *reign // Nil where this replica doesn't lead.
@@ -62,7 +62,7 @@
 		Upstream(id string) *wire.Upstream
 		Roster(since uint64) (list []*wire.Upstream, whole bool, revision uint64)
 		Bans() (list []*wire.Ban, revision uint64)
-		Group() (name string, all []*wire.Replica, peers []raft.Heard)
+		Group() (name string, all []*wire.Replica, peers []raft.PeerStatus)
 		Propose(ctx context.Context, c *wire.Command) (*wire.Result, error)
 		Handle(ctx context.Context, f *wire.Frame) (*wire.Frame, error)
 	}
@@ -130,8 +130,8 @@
 	}
 }
 
-// Gauges sets up the figures that are read when the metrics are.
-func (h *Hub) Gauges() {
+// RegisterGauges sets up the figures that are read when the metrics are.
+func (h *Hub) RegisterGauges() {
 	h.Stats.Pull("tickets-waiting", func() int64 {
 		if r := h.scheduler(); r != nil {
 			return int64(r.sched.Waiting())
@@ -196,10 +196,10 @@
 // begin starts to schedule. Entries bring the slots that they hold when they
 // hear of the new scheduler.
 func (h *Hub) begin(ctx context.Context, s scope) *reign {
-	r := &reign{id: uuid.NewString()[:8], begun: time.Now(), scope: s, stats: h.Stats, log: h.Log, lines: &h.Lines}
-	r.allow = allow.Allow{Over: allowPart * h.Over, Slack: allowPart * h.Slack, Idle: true}
+	r := &reign{id: uuid.NewString()[:8], begun: time.Now(), scope: s, stats: h.Stats, log: h.Log, lines: &h.RefusalLog}
+	r.allow = allow.Allow{Over: allowPart * h.Overage, Slack: allowPart * h.QuotaSlack, Idle: true}
 	if s == centre {
-		r.allow.Slack, r.allow.Idle = allow.SlackPart*h.Slack, false
+		r.allow.Slack, r.allow.Idle = allow.SlackPart*h.QuotaSlack, false
 	}
 	r.sched = &sched.Sched{Incarnation: r.id, Log: h.Log.WithName("sched")}
 	go func() { _ = r.sched.Serve(ctx) }()
@@ -226,7 +226,7 @@
 	if have == 0 {
 		list, _, _ := h.Replica.Roster(0)
 		for _, u := range list {
-			if r.scope == deployment || u.GetDataCentre() == h.Centre {
+			if r.scope == deployment || u.GetDataCentre() == h.DataCentre {
 				h.announce(r, u, freshLease)
 			}
 		}
@@ -235,9 +235,9 @@
 	return v
 }
 
-// Later takes tickets, which wait for their decision without a goroutine each, and
+// HandleAsync takes tickets, which wait for their decision without a goroutine each, and
 // questions whether this process lives.
-func (h *Hub) Later(ctx context.Context, f *wire.Frame, reply func(*wire.Frame)) bool {
+func (h *Hub) HandleAsync(ctx context.Context, f *wire.Frame, reply func(*wire.Frame)) bool {
 	if f.GetConfigQuery().GetVersion() > 0 {
 		reply(&wire.Frame{Body: &wire.Frame_BeatReply{BeatReply: &wire.BeatReply{}}})
 		return true
@@ -258,7 +258,7 @@
 // Handle answers one frame of a peer.
 func (h *Hub) Handle(ctx context.Context, f *wire.Frame) (*wire.Frame, error) {
 	answer := make(chan *wire.Frame, 1)
-	if h.Later(ctx, f, func(r *wire.Frame) { answer <- r }) {
+	if h.HandleAsync(ctx, f, func(r *wire.Frame) { answer <- r }) {
 		r := <-answer
 		if fault := r.GetFault(); fault != nil {
 			return nil, fault
@@ -359,7 +359,7 @@
 		return &wire.Frame{Body: &wire.Frame_ConfigQuery{ConfigQuery: &wire.ConfigQuery{}}}
 	})
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %w", ErrUnsure, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrNoQuorum, err)
 	}
 	return f.GetBeatReply().GetVersion(), f.GetBeatReply().GetDocument(), nil
 }
--- a/io/hub/hub_test.go
+++ b/io/hub/hub_test.go
@@ -96,7 +96,7 @@
 	return f.state.Bans()
 }
 
-func (f *fakeReplica) Group() (string, []*wire.Replica, []raft.Heard) {
+func (f *fakeReplica) Group() (string, []*wire.Replica, []raft.PeerStatus) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := make([]*wire.Replica, f.voters)
@@ -146,7 +146,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeReplica{leads: true, voters: 3}
-		h := &Hub{Replica: f, Voters: 3, Beat: beatEvery, Log: logr.Discard(), Parse: func([]byte) (*conf.Config, error) {
+		h := &Hub{Replica: f, Voters: 3, AnnounceInterval: beatEvery, Log: logr.Discard(), Parse: func([]byte) (*conf.Config, error) {
 			return &conf.Config{
 				Accounts: map[string]acct.Account{"a": {Rate: 1000, Burst: 1000}},
 				Pools:    map[string]pool.Pool{"engines": {ByRoute: true, Slots: 4, Scheduler: "batch"}},
@@ -214,7 +214,7 @@
 		before := runtime.NumGoroutine()
 		var refused atomic.Int64
 		for id := range uint64(burst) {
-			must.True(t, h.Later(t.Context(), &wire.Frame{Body: &wire.Frame_Ticket{Ticket: &wire.Ticket{
+			must.True(t, h.HandleAsync(t.Context(), &wire.Frame{Body: &wire.Frame_Ticket{Ticket: &wire.Ticket{
 				Id: id, Incarnation: "i", Pool: "engines", Account: "b", Route: "r", PromptTokens: 10, AnswerTokens: 10,
 				DeadlineUs: time.Second.Microseconds(), ObjectiveUs: (300 * time.Millisecond).Microseconds(),
 			}}}, func(f *wire.Frame) {
@@ -241,7 +241,7 @@
 		must.Error(t, h.Report(t.Context(), &wire.Report{Upstream: &wire.Upstream{Id: "s"}, Deregister: true}))
 		must.Error(t, h.Publish(t.Context(), 2, []byte("two")))
 		_, _, err := h.Newest(t.Context())
-		must.ErrorIs(t, err, ErrUnsure)
+		must.ErrorIs(t, err, ErrNoQuorum)
 		must.NoError(t, h.Report(t.Context(), says("s", 3, wire.Upstream_STATE_SERVING)), must.Sprint("nothing new to write down"))
 	})
 }
--- a/io/hub/limits_test.go
+++ b/io/hub/limits_test.go
@@ -160,7 +160,7 @@
 // because the entries with a share are on the other side.
 func TestSharesBehindACut(t *testing.T) {
 	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
+		h.DataCentre = "z1"
 		cutOff(t, h, f)
 		w := &wire.Watch{
 			Node: "e", Incarnation: "i", DataCentre: "z1", Entries: 40, Alone: true, Limits: []*wire.Limit{{Upstream: "near", PerSecond: 1}},
--- a/io/hub/reach.go
+++ b/io/hub/reach.go
@@ -41,7 +41,7 @@
 
 // look takes what the leader hears of the other replicas and reports whether the
 // list of lost data centres has changed.
-func (r *reach) look(now time.Time, peers []raft.Heard) bool {
+func (r *reach) look(now time.Time, peers []raft.PeerStatus) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.heard == nil {
--- a/io/hub/scope.go
+++ b/io/hub/scope.go
@@ -50,7 +50,7 @@
 // entries that stayed with a former leader would hear of no configuration accepted
 // since, and serve callers by routes and keys that are no longer in force.
 func (h *Hub) serves(r *reign, w *wire.Watch) bool {
-	return r.scope == deployment || (w.GetAlone() && w.GetDataCentre() == h.Centre)
+	return r.scope == deployment || (w.GetAlone() && w.GetDataCentre() == h.DataCentre)
 }
 
 // dataCentre is the one for which a scheduler works, empty for all.
--- a/io/hub/scope_test.go
+++ b/io/hub/scope_test.go
@@ -38,7 +38,7 @@
 // once the replica hears a leader again, all are.
 func TestSchedulesItsDataCentreWhileCutOff(t *testing.T) {
 	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
+		h.DataCentre = "z1"
 		cutOff(t, h, f)
 		n, err := ask(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Entries: 40, Rates: used, Alone: true})
 		must.NoError(t, err)
@@ -66,7 +66,7 @@
 // that is accepted elsewhere, for as long as the cut lasts.
 func TestFollowersOfALeaderLookForTheNext(t *testing.T) {
 	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
+		h.DataCentre = "z1"
 		n, err := ask(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1"})
 		must.NoError(t, err)
 		cutOff(t, h, f)
@@ -80,7 +80,7 @@
 // no more work, but no word that everyone knows of it.
 func TestAnnouncementsWhileCutOff(t *testing.T) {
 	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
+		h.DataCentre = "z1"
 		cutOff(t, h, f)
 		_, err := ask(h, &wire.Watch{Node: "e", Incarnation: "i", DataCentre: "z1", Rates: used, Alone: true})
 		must.NoError(t, err)
@@ -101,7 +101,7 @@
 // whole rate on each side.
 func TestRatesWhileCutOff(t *testing.T) {
 	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
+		h.DataCentre = "z1"
 		cutOff(t, h, f)
 		for _, e := range []string{"e1", "e2"} {
 			_, err := ask(h, &wire.Watch{
@@ -118,7 +118,7 @@
 // leader lets pass.
 func TestRatesWhileAFormerLeaderIsCutOff(t *testing.T) {
 	run(t, func(t *testing.T, h *Hub, f *fakeReplica) {
-		h.Centre = "z1"
+		h.DataCentre = "z1"
 		for i := range 10 {
 			e := fmt.Sprint("e", i)
 			_, err := ask(h, &wire.Watch{Node: e, Incarnation: e, DataCentre: fmt.Sprint("z", i+1)})
@@ -177,10 +177,10 @@
 				if tc.serves {
 					r.ended(now, "z2")
 				}
-				r.look(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}, Silence: now.Sub(at)}})
+				r.look(now, []raft.PeerStatus{{Replica: &wire.Replica{DataCentre: "z2"}, Silence: now.Sub(at)}})
 			}
 			must.SliceEqFunc(t, tc.want, r.list(), func(a, b string) bool { return a == b })
-			r.look(now, []raft.Heard{{Replica: &wire.Replica{DataCentre: "z2"}}})
+			r.look(now, []raft.PeerStatus{{Replica: &wire.Replica{DataCentre: "z2"}}})
 			must.SliceEmpty(t, r.list(), must.Sprint("it is heard again"))
 		})
 	}
--- a/io/hub/watch.go
+++ b/io/hub/watch.go
@@ -90,7 +90,7 @@
 // before, and has heard those of all others then.
 func (h *Hub) here(r *reign) int64 {
 	if r.scope == centre {
-		return h.watchers.countIn(time.Now(), h.Centre)
+		return h.watchers.countIn(time.Now(), h.DataCentre)
 	}
 	return h.watchers.count(time.Now())
 }
@@ -130,7 +130,7 @@
 // scheduler of a data centre that is cut off does not wait for those elsewhere: else its
 // upstreams would get nothing where none of its entries has a share.
 func (h *Hub) sharers(r *reign) (nodes []string, all bool) {
-	nodes = h.watchers.nodes(r.dataCentre(h.Centre))
+	nodes = h.watchers.nodes(r.dataCentre(h.DataCentre))
 	here := int64(len(nodes))
 	return nodes, r.scope == centre || here >= r.entries(here)
 }
@@ -157,7 +157,7 @@
 // sweep looks at what has gone silent.
 func (h *Hub) sweep(r *reign) {
 	now := time.Now()
-	quiet := r.beats.silent(now, leaseBeats*h.Beat+h.Beat/2)
+	quiet := r.beats.silent(now, leaseBeats*h.AnnounceInterval+h.AnnounceInterval/2)
 	r.beats.mu.Lock()
 	changed := !slices.Equal(quiet, r.beats.quiet)
 	r.beats.quiet = quiet
--- a/io/hubd/hubd.go
+++ b/io/hubd/hubd.go
@@ -96,13 +96,13 @@
 		Losses: set.Losses, Centres: len(set.Centres), Away: time.Duration(awayPart * float64(set.CatchUp)), Forget: forget,
 	}
 	h := &hub.Hub{
-		Replica: d.ctrl, Leader: toLeader, Centre: set.Centre, Parse: parse, Voters: group.Voters(), Beat: set.Announce, Over: set.Overage,
-		Slack: set.QuotaSlack, Stats: metrics, Log: d.log, Lines: logs.Budget{Most: refusalLines},
+		Replica: d.ctrl, Leader: toLeader, DataCentre: set.Centre, Parse: parse, Voters: group.Voters(), AnnounceInterval: set.Announce, Overage: set.Overage,
+		QuotaSlack: set.QuotaSlack, Stats: metrics, Log: d.log, RefusalLog: logs.Budget{Most: refusalLines},
 	}
-	h.Gauges()
+	h.RegisterGauges()
 	metrics.Pull("log-term", func() int64 { return int64(d.ctrl.Term()) })       //nolint:gosec // Terms are few.
 	metrics.Pull("log-applied", func() int64 { return int64(d.ctrl.Applied()) }) //nolint:gosec // So are entries.
-	m.Handle, m.Later = h.Handle, h.Later
+	m.Handle, m.Later = h.Handle, h.HandleAsync
 	d.ctrl.Sender = m
 	ops := &admin.Admin{Stats: metrics, Ready: d.ctrl.Ready}
 	d.sup = suture.New("hub", suture.Spec{EventHook: func(ev suture.Event) { d.log.Info("Part stopped.", "event", ev.String()) }})
