--- a/io/form/form_test.go
+++ b/io/form/form_test.go
@@ -33,7 +33,9 @@
 func (f *fakeGroup) Leads() bool      { return f.leads }
 func (f *fakeGroup) Ready() bool      { return f.ready }
 
-func (f *fakeGroup) Group() (string, []*wire.Replica, []raft.PeerStatus) { return f.name, f.all, f.peers }
+func (f *fakeGroup) Group() (string, []*wire.Replica, []raft.PeerStatus) {
+	return f.name, f.all, f.peers
+}
 
 func (f *fakeGroup) Propose(_ context.Context, c *wire.Command) (*wire.Result, error) {
 	f.proposed = append(f.proposed, c.GetMembership())
