--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -13,7 +13,7 @@
 
 	"github.com/go-logr/logr"
 
-	"azurelane/core/before"
+	"azurelane/core/reqage"
 	"azurelane/core/budget"
 	"azurelane/core/meta"
 	"azurelane/core/peers"
@@ -53,7 +53,7 @@
 		budgets         map[string]*budget.Budget // By pool.
 		unreportedUsage map[string]int64          // Units by account that have not been reported yet.
 		localQuota      localQuota
-		retryAges       map[string]*before.Before // By route; estimate how long ago callers first tried.
+		retryAges       map[string]*reqage.Estimator // By route; estimate how long ago callers first tried.
 	}
 
 	// clusterState is this entry's view of the deployment; see watch.Watch.
--- a/io/gate/place.go
+++ b/io/gate/place.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"azurelane/core/before"
+	"azurelane/core/reqage"
 	"azurelane/core/budget"
 	"azurelane/core/peers"
 	"azurelane/core/refuse"
@@ -228,13 +228,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.retryAges == nil {
-		g.retryAges, g.budgets = map[string]*before.Before{}, map[string]*budget.Budget{}
+		g.retryAges, g.budgets = map[string]*reqage.Estimator{}, map[string]*budget.Budget{}
 	}
 	if q.meta.Deadline > 0 {
 		if g.retryAges[q.route.Name] == nil {
-			g.retryAges[q.route.Name] = &before.Before{}
+			g.retryAges[q.route.Name] = &reqage.Estimator{}
 		}
-		q.sinceFirstTry = g.retryAges[q.route.Name].Add(q.meta.Deadline)
+		q.sinceFirstTry = g.retryAges[q.route.Name].Observe(q.meta.Deadline)
 	}
 	b := g.budgets[q.pool]
 	if b == nil {
