--- a/core/batch/backlog.go
+++ b/core/batch/backlog.go
@@ -6,50 +6,51 @@
 )
 
 type (
-	// backlog is the prompts that an upstream was given and has not read yet, as far as
-	// is known. The zero value is one that has read all.
+	// backlog holds the prompts that were sent to an upstream and that, as far as the scheduler
+	// knows, it has not prefilled yet. The zero value is an empty backlog.
 	backlog struct {
-		unread []unread  // In the order in which they were given.
-		free   time.Time // When all will have been read.
+		pending []pendingPrefill // In send order.
+		idleAt  time.Time        // Estimated end of the last prefill.
 	}
 
-	// unread is a prompt of which no first piece was heard.
-	unread struct {
-		given time.Time
-		read  time.Duration // What reading it is believed to take.
+	// pendingPrefill is a prompt whose first token has not been reported yet.
+	pendingPrefill struct {
+		sentAt   time.Time
+		duration time.Duration // Estimated prefill time.
 	}
 )
 
-// wait is for how long a prompt given now waits for those before it.
-func (l *backlog) wait(now time.Time) time.Duration { return max(l.free.Sub(now), 0) }
+// wait returns how long a prompt sent now waits for the prefills ahead of it.
+func (b *backlog) wait(now time.Time) time.Duration { return max(b.idleAt.Sub(now), 0) }
 
-// add notes that a prompt was given.
-func (l *backlog) add(now time.Time, read time.Duration) {
-	l.unread = append(l.unread, unread{now, read})
-	l.after(now, l.unread[len(l.unread)-1:])
+// add records a prompt that was sent at now.
+func (b *backlog) add(now time.Time, duration time.Duration) {
+	b.pending = append(b.pending, pendingPrefill{now, duration})
+	b.extend(now, b.pending[len(b.pending)-1:])
 }
 
-// begun notes when the first piece of an answer came: that prompt and all that were
-// given before it had been read by then. Without it, errors of what is believed to be
-// unread add up for as long as work comes.
-func (l *backlog) begun(given, first time.Time) {
-	if len(l.unread) == 0 || given.Before(l.unread[0].given) {
-		return // A later one has told more.
+// prefillDone records the first token of an answer. By then the engine had prefilled its prompt
+// and all prompts sent before it. Without this correction the errors of the estimates would add
+// up for as long as requests keep coming.
+func (b *backlog) prefillDone(sentAt, firstToken time.Time) {
+	if len(b.pending) == 0 || sentAt.Before(b.pending[0].sentAt) {
+		return // A later prompt was reported before.
 	}
-	l.unread = slices.DeleteFunc(l.unread, func(u unread) bool { return !u.given.After(given) })
-	l.free = first
-	l.after(first, l.unread)
+	b.pending = slices.DeleteFunc(b.pending, func(u pendingPrefill) bool { return !u.sentAt.After(sentAt) })
+	b.idleAt = firstToken
+	b.extend(firstToken, b.pending)
 }
 
-// after puts the reading of some prompts behind what is read until then.
-func (l *backlog) after(now time.Time, list []unread) {
-	if l.free.Before(now) {
-		l.free = now
+// extend advances idleAt by the prefill times of the given prompts. Each prefill starts when the
+// one before it ends, but not before its prompt was sent.
+func (b *backlog) extend(now time.Time, prompts []pendingPrefill) {
+	if b.idleAt.Before(now) {
+		b.idleAt = now
 	}
-	for _, u := range list {
-		if l.free.Before(u.given) {
-			l.free = u.given
+	for _, u := range prompts {
+		if b.idleAt.Before(u.sentAt) {
+			b.idleAt = u.sentAt
 		}
-		l.free = l.free.Add(u.read)
+		b.idleAt = b.idleAt.Add(u.duration)
 	}
 }
--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -1,7 +1,11 @@
-// Package batch is the scheduling policy for model engines that batch
-// continuously and admit requests in the order of arrival. It keeps each
-// engine's batch full and its own queue all but empty, and gives the next free
-// place to the request that earns most for the time that it takes the place.
+// Package batch is the scheduling policy for model engines that use continuous batching and admit
+// requests in the order of arrival. It keeps each engine's batch full and the engine's own queue
+// almost empty. A free slot goes to the waiting request with the highest value per second of slot
+// time.
+//
+// An engine prefills (reads) the prompt of a request before it decodes (generates) the answer. A
+// decode step is the time in which an engine generates one answer token. Prefill times are
+// expressed in decode steps, so that runs on engines of different speeds can be compared.
 package batch
 
 import (
@@ -25,51 +29,52 @@
 func init() { kernel.Register(Name, false, func() kernel.Scheduler { return &Batch{} }) }
 
 const (
-	// extraPlaces is how many requests an engine may have beyond its batch: one
-	// that is there when a place becomes free saves the way to the scheduler and
-	// back, and more only wait there behind each other. It is for the most urgent
-	// priority alone; see urgent.
-	extraPlaces = 1
-	// fullCache is the part of an engine's cache that may be promised.
-	fullCache   = 0.95
-	startGrace  = 1500 * time.Millisecond // How long a fresh owner waits for upstreams before it refuses.
-	forgetAfter = time.Minute
-	sweepEvery  = 200 * time.Millisecond // Looks at all places and upstreams.
-	// tryEvery is the time between two grants to engines that seem cut off: enough to
-	// see soon that they are back, and each of them may wait for nothing.
-	tryEvery = 400 * time.Millisecond
-	runGrace = 10 * time.Second
-	// shortestRetry and longestRetry bound what a refused caller is told to wait.
-	// Shortages last for seconds: who comes back within one meets the same one and is
-	// refused again, and after more than three most have no time left.
-	shortestRetry = 2200 * time.Millisecond
-	longestRetry  = 3 * time.Second
+	// engineQueueLimit is the number of requests that an engine may hold beyond its batch. A
+	// request that is already there when a slot becomes free saves the round trip to the
+	// scheduler; more than one would only queue there behind each other. Only requests of the top
+	// priority may use it; see topPriority.
+	engineQueueLimit = 1
+	// maxCacheUse is the share of an engine's KV cache that may be promised to requests.
+	maxCacheUse   = 0.95
+	startGrace    = 1500 * time.Millisecond // How long a new owner waits for announcements before it refuses requests.
+	forgetAfter   = time.Minute
+	sweepInterval = 200 * time.Millisecond // Interval between checks of all slots and upstreams.
+	// probeInterval is the time between two grants to engines that seem cut off. It is short
+	// enough to notice soon that they are back, and long enough that few requests wait there in
+	// vain.
+	probeInterval = 400 * time.Millisecond
+	runGrace      = 10 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry time in a refusal. Shortages last for
+	// seconds: callers that retry within a second meet the same shortage and are refused again,
+	// and after more than three seconds most of them have no time left.
+	minRetryAfter = 2200 * time.Millisecond
+	maxRetryAfter = 3 * time.Second
 )
 
-// Batch is the policy's state for one pool.
+// Batch is the state of the policy for one pool.
 type Batch struct {
-	name    string
-	pool    pool.Pool
-	table   table.Table
-	slots   slots.Slots
-	waiting []*item
-	items   map[ticketKey]*item // Those that wait.
-	kinds   map[string]*kind
-	engines map[string]*engine // By name.
-	all     []*engine          // In the order of the table.
-	open    []offer            // Of the decision that is being made.
-	gap     time.Duration      // Longest pause between two events that is on time for all; zero for any.
-	mean    pace               // A pace between the slowest and the fastest engine.
-	started time.Time
-	swept   time.Time
-	tried   time.Time // Last grant to an engine that seems cut off.
-	urgent  urgent
-	shape   shape
-	ideal   ideal
-	shed    shed
+	name         string
+	pool         pool.Pool
+	table        table.Table
+	slots        slots.Slots
+	waiting      []*item
+	waitingByKey map[ticketKey]*item // The elements of waiting.
+	routes       map[string]*routeStats
+	engines      map[string]*engine // By upstream name.
+	engineList   []*engine          // In table order.
+	offers       []offer            // Engines with room, for the decision in progress.
+	maxGap       time.Duration      // Longest gap between two events that all routes accept; zero for no limit.
+	meanEngine   engineStats        // Stands for any engine while none is chosen.
+	started      time.Time
+	sweptAt      time.Time
+	probedAt     time.Time // Last grant to an engine that seems cut off.
+	topPriority  topPriority
+	costs        costModel
+	bestCase     bestCase
+	shed         shedder
 }
 
-// ticketKey names a ticket.
+// ticketKey identifies a ticket.
 type ticketKey struct {
 	incarnation string
 	id          uint64
@@ -79,76 +84,76 @@
 func (b *Batch) Configure(now time.Time, name string, cfg *conf.Config) []*wire.Decision {
 	b.name, b.pool = name, cfg.Pools[name].WithDefaults()
 	if b.started.IsZero() {
-		b.started, b.kinds, b.engines, b.items = now, map[string]*kind{}, map[string]*engine{}, map[ticketKey]*item{}
-		b.learnMean()
+		b.started, b.routes, b.engines, b.waitingByKey = now, map[string]*routeStats{}, map[string]*engine{}, map[ticketKey]*item{}
+		b.updateMeanEngine()
 	}
 	return nil
 }
 
-// Announce takes an upstream's lease and grants what now fits.
+// Announce records an upstream's lease and grants the waiting tickets that now fit.
 func (b *Batch) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
 	if u := b.table.Named(a.GetUpstream()); u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
-		b.slots.Vacate(now, u) // What the former process ran ended with it.
-		b.engine(u).pace = b.unknown()
+		b.slots.Vacate(now, u) // The runs of the previous process ended with it.
+		b.engine(u).stats = b.newEngineStats()
 	}
 	b.table.Put(now, a)
 	return b.assign(now)
 }
 
-// Submit queues a ticket, grants it or refuses it.
+// Submit queues a ticket and returns the grants that are possible now. A ticket that is submitted
+// again replaces the earlier one.
 func (b *Batch) Submit(now time.Time, t *wire.Ticket) []*wire.Decision {
 	b.remove(t.GetIncarnation(), t.GetId())
 	b.slots.Cancel(now, t.GetIncarnation(), t.GetId())
-	k := b.kinds[t.GetRoute()]
-	if k == nil {
-		k = &kind{}
-		b.kinds[t.GetRoute()] = k
+	route := b.routes[t.GetRoute()]
+	if route == nil {
+		route = &routeStats{}
+		b.routes[t.GetRoute()] = route
 	}
-	b.urgent.seen(now, t.GetPriority())
-	i := newItem(now.Sub(b.started), t, k, &b.mean)
+	b.topPriority.observe(now, t.GetPriority())
+	i := newItem(now.Sub(b.started), t, route, &b.meanEngine)
 	b.waiting = append(b.waiting, i)
-	b.items[ticketKey{t.GetIncarnation(), t.GetId()}] = i
-	if beyond := b.look(now); len(b.open) == 0 || (beyond && !b.urgent.has(i)) {
-		return nil // Nothing was possible before, and this one changes nothing.
+	b.waitingByKey[ticketKey{t.GetIncarnation(), t.GetId()}] = i
+	if batchesFull := b.listOffers(now); len(b.offers) == 0 || (batchesFull && !b.topPriority.includes(i)) {
+		return nil // No ticket could be granted before, and this one does not change that.
 	}
 	return b.assign(now)
 }
 
-// Release frees a slot, learns from the run and grants what now fits.
+// Release frees a slot, learns from its run and grants the waiting tickets that now fit.
 func (b *Batch) Release(now time.Time, r *wire.Release) []*wire.Decision {
 	s := b.slots.Free(now, r)
 	if s == nil {
 		return nil
 	}
-	if k := b.kinds[s.Ticket.GetRoute()]; k != nil && r.GetDispatched() && !r.GetBusy() {
-		k.length.ended(s.Ticket.GetAnswerTokens(), r.GetPieces()*max(b.pool.EventTokens, 1), r.GetWhole())
+	if route := b.routes[s.Ticket.GetRoute()]; route != nil && r.GetDispatched() && !r.GetBusy() {
+		route.answers.addAnswer(s.Ticket.GetAnswerTokens(), r.GetPieces()*max(b.pool.EventTokens, 1), r.GetWhole())
 		if !r.GetWhole() {
-			k.broke(s.Ticket)
+			route.addBrokenRun(s.Ticket)
 		}
 	}
-	p := b.engine(s.Up).pace
+	stats := b.engine(s.Up).stats
 	if r.GetFirstTokenUs() > 0 {
-		p.begun(s.Since, now.Add(-time.Duration(r.GetTotalUs()-r.GetFirstTokenUs())*time.Microsecond))
+		stats.prefillDone(s.Since, now.Add(-time.Duration(r.GetTotalUs()-r.GetFirstTokenUs())*time.Microsecond))
 	}
 	switch {
 	case r.GetBusy():
-		p.given(now, b.pool.Slots*int64(b.shape.usual())) // Its own queue is full: others use it, too.
+		stats.addPrompt(now, b.pool.Slots*int64(b.costs.usualAnswer())) // Requests from elsewhere fill its queue, too.
 	case r.GetFailed():
-		p.failed(now, r.GetFirstTokenUs() > 0, s.Up.GetSeq())
+		stats.addFailure(now, r.GetFirstTokenUs() > 0, s.Up.GetSeq())
 	case r.GetDispatched():
-		p.ran(now, r, s.Ticket.GetPromptTokens()-s.Kept, max(b.pool.EventTokens, 1), s.Wait)
+		stats.addRun(now, r, s.Ticket.GetPromptTokens()-s.Kept, max(b.pool.EventTokens, 1), s.Wait)
 	}
 	return b.assign(now)
 }
 
-// Withdraw drops a waiting ticket, or frees the slot that it was granted in the
-// same moment.
+// Withdraw drops a waiting ticket, or frees its slot if it was granted at the same moment.
 func (b *Batch) Withdraw(now time.Time, w *wire.Withdraw) {
 	b.remove(w.GetIncarnation(), w.GetTicket())
 	b.slots.Cancel(now, w.GetIncarnation(), w.GetTicket())
 }
 
-// Hold takes an entry's list of the slots that it holds. See slots.Hold.
+// Hold records the slots of this pool that an entry reports as held. See slots.Hold.
 func (b *Batch) Hold(now time.Time, h *wire.Held) {
 	var list []*wire.HeldSlot
 	for _, s := range h.GetSlots() {
@@ -159,113 +164,115 @@
 	b.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), b.table.Named)
 }
 
-// Forget drops a dead entry's tickets and slots.
+// Forget drops the tickets and slots of a dead entry.
 func (b *Batch) Forget(now time.Time, incarnation string) []*wire.Decision {
 	b.slots.Forget(incarnation)
-	b.drop(func(i *item) bool { return i.GetIncarnation() == incarnation })
+	b.removeIf(func(i *item) bool { return i.GetIncarnation() == incarnation })
 	return b.assign(now)
 }
 
-// Tick refuses what can't be done in time any more and grants what now fits.
+// Tick refuses tickets that can no longer be served in time and grants the waiting tickets that
+// now fit.
 func (b *Batch) Tick(now time.Time) []*wire.Decision {
-	if now.Sub(b.swept) >= sweepEvery {
-		b.swept = now
-		order(b.kinds, now.Sub(b.started))
+	if now.Sub(b.sweptAt) >= sweepInterval {
+		b.sweptAt = now
+		updateBoosts(b.routes, now.Sub(b.started))
 		b.table.Expire(now, forgetAfter)
-		b.forget()
-		b.learnMean()
-		b.learnGap()
+		b.dropStaleEngines()
+		b.updateMeanEngine()
+		b.updateMaxGap()
 		b.slots.Sweep(now, b.pool.MaxRun+runGrace, func(*slot.Slot) {})
 	}
-	return append(b.assign(now), b.expire(now)...)
+	return append(b.assign(now), b.refuseExpired(now)...)
 }
 
 func (b *Batch) remove(incarnation string, ticket uint64) {
-	if i := b.items[ticketKey{incarnation, ticket}]; i != nil {
-		b.drop(func(other *item) bool { return other == i })
+	if i := b.waitingByKey[ticketKey{incarnation, ticket}]; i != nil {
+		b.removeIf(func(other *item) bool { return other == i })
 	}
 }
 
-// drop takes the tickets for which gone says so out of the queue.
-func (b *Batch) drop(gone func(*item) bool) {
+// removeIf removes the tickets for which gone returns true from the queue.
+func (b *Batch) removeIf(gone func(*item) bool) {
 	b.waiting = slices.DeleteFunc(b.waiting, func(i *item) bool {
 		if !gone(i) {
 			return false
 		}
-		delete(b.items, ticketKey{i.GetIncarnation(), i.GetId()})
+		delete(b.waitingByKey, ticketKey{i.GetIncarnation(), i.GetId()})
 		return true
 	})
 }
 
-func (b *Batch) fits(u *upstr.Upstream, tokens int64) bool {
-	return b.pool.CacheTokens == 0 || float64(u.Tokens+tokens) <= fullCache*float64(b.pool.CacheTokens)
+func (b *Batch) fitsCache(u *upstr.Upstream, tokens int64) bool {
+	return b.pool.CacheTokens == 0 || float64(u.Tokens+tokens) <= maxCacheUse*float64(b.pool.CacheTokens)
 }
 
-// assign gives free places to the waiting tickets that are worth most.
+// assign grants free slots to the waiting tickets with the highest scores.
 func (b *Batch) assign(now time.Time) []*wire.Decision {
 	var out []*wire.Decision
 	for len(b.waiting) > 0 {
-		beyond := b.look(now)
-		if len(b.open) == 0 || (beyond && !b.urgent.waits(b.waiting)) {
+		batchesFull := b.listOffers(now)
+		if len(b.offers) == 0 || (batchesFull && !b.topPriority.includesAny(b.waiting)) {
 			return out
 		}
-		n, e := b.next(now.Sub(b.started), beyond)
+		n, e := b.pick(now.Sub(b.started), batchesFull)
 		if e == nil {
 			return out
 		}
 		i := b.waiting[n]
-		i.kind.ended(now.Sub(b.started), i.class, true, !i.returned && now.Sub(b.started)+e.pace.expect(now, e.Upstream, i.prompt) <= i.onTime)
+		i.routeStats.addOutcome(now.Sub(b.started), i.class, true, !i.isRetry && now.Sub(b.started)+e.stats.timeToFirstToken(now, e.Upstream, i.prompt) <= i.objective)
 		b.waiting = slices.Delete(b.waiting, n, n+1)
-		delete(b.items, ticketKey{i.GetIncarnation(), i.GetId()})
-		s := &slot.Slot{Up: e.Upstream, Ticket: i.Ticket, Kept: kept(e.Upstream, i)}
-		s.Wait = e.pace.wait(now)
+		delete(b.waitingByKey, ticketKey{i.GetIncarnation(), i.GetId()})
+		s := &slot.Slot{Up: e.Upstream, Ticket: i.Ticket, Kept: cachedTokens(e.Upstream, i)}
+		s.Wait = e.stats.wait(now)
 		if e.GetUnreached() {
-			b.tried = now
+			b.probedAt = now
 		}
-		e.pace.given(now, i.GetPromptTokens()-s.Kept)
+		e.stats.addPrompt(now, i.GetPromptTokens()-s.Kept)
 		for _, p := range i.GetParts() {
 			e.Cache.Sent(now, p.GetHash())
 		}
-		b.shed.granted(now.Sub(b.started))
+		b.shed.addGrant(now.Sub(b.started))
 		out = append(out, b.slots.Grant(now, s, b.pool.GrantTTL))
 	}
 	return out
 }
 
-// expire refuses tickets that are late already while others could still be in
-// time, those that no place will reach before, and those whose end has come.
-func (b *Batch) expire(now time.Time) []*wire.Decision {
+// refuseExpired refuses the tickets whose refuseAt has come: those that are too late while others
+// could still be in time, those that no slot will reach in time, and those at the end of their
+// deadline.
+func (b *Batch) refuseExpired(now time.Time) []*wire.Decision {
 	var out []*wire.Decision
 	at := now.Sub(b.started)
 	if b.shed.due(at) {
-		b.shed.hopeless(at, b.waiting, shedLeast*b.capacity())
+		b.shed.markUnreachable(at, b.waiting, minGrantShare*b.capacity())
 	}
-	b.drop(func(i *item) bool {
-		if at < i.giveUp {
+	b.removeIf(func(i *item) bool {
+		if at < i.refuseAt {
 			return false
 		}
-		i.kind.ended(at, i.class, false, false)
-		out = append(out, refuse.Ticket(i.Ticket, refuse.Overloaded, b.retry(i)))
+		i.routeStats.addOutcome(at, i.class, false, false)
+		out = append(out, refuse.Ticket(i.Ticket, refuse.Overloaded, b.retryAfter(i)))
 		return true
 	})
 	return out
 }
 
-// retry is when there will be room for a refused ticket: when the places have
-// worked off what waits, spread so that those refused together don't come back
-// together.
-func (b *Batch) retry(i *item) time.Duration {
-	places := int64(0)
+// retryAfter estimates when there will be room for a refused ticket: after the slots have worked
+// off the waiting tickets of at least the same value. The time is spread by ticket ID, so that
+// callers that were refused together do not return together.
+func (b *Batch) retryAfter(i *item) time.Duration {
+	slotCount := int64(0)
 	for _, u := range b.table.All() {
-		places += int64(u.Limit())
+		slotCount += int64(u.Limit())
 	}
 	var work time.Duration
 	for _, w := range b.waiting {
-		if w.earns >= i.earns {
-			work += time.Duration(w.answer) * tokenTime
+		if w.valueRate >= i.valueRate {
+			work += time.Duration(w.answer) * defaultTokenTime
 		}
 	}
-	after := min(max(work/time.Duration(max(places, 1)), shortestRetry), longestRetry)
+	after := min(max(work/time.Duration(max(slotCount, 1)), minRetryAfter), maxRetryAfter)
 	const parts = 16
 	return after + after/2*time.Duration(i.GetId()%parts)/parts
 }
--- /dev/null
+++ b/core/batch/bestcase.go
@@ -0,0 +1,25 @@
+package batch
+
+import "time"
+
+// bestCase holds the best times that any upstream could reach if it were idle. It distinguishes a
+// request that is late for lack of a slot from one that would be late anyway, such as one whose
+// prefill takes longer than its objective. If the latter were passed over like the former, it
+// would wait until it is refused, although no wait can help it.
+type bestCase struct {
+	overhead, perToken time.Duration
+}
+
+func (c *bestCase) add(s *engineStats) {
+	if c.perToken == 0 {
+		c.overhead, c.perToken = s.overhead(), s.perToken()
+		return
+	}
+	c.overhead, c.perToken = min(c.overhead, s.overhead()), min(c.perToken, s.perToken())
+}
+
+// firstToken returns the time to the first token of a prompt whose prefill takes the given number
+// of decode steps.
+func (c *bestCase) firstToken(prefillSteps float64) time.Duration {
+	return c.overhead + time.Duration(prefillSteps*float64(c.perToken))
+}
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -8,66 +8,66 @@
 )
 
 type (
-	// engine is an upstream with what was learnt of it.
+	// engine is an upstream with the statistics learned from its runs.
 	engine struct {
 		*upstr.Upstream
-		pace *pace
+		stats *engineStats
 	}
 
-	// offer is an engine with room, as it stands in the decision that is being made.
-	// What each of several tickets would cost there is compared, so that what does
-	// not depend on the ticket is worked out once.
+	// offer is an engine with room, as seen by the decision in progress. A decision compares the
+	// costs of several tickets there; the fields hold the parts that do not depend on the ticket,
+	// so that they are computed once.
 	offer struct {
 		*engine
-		beyond   bool          // All places of its batch are taken.
-		first    time.Duration // Until the first piece of an empty prompt.
-		unread   time.Duration // Until all prompts given to it will have been read.
-		perToken time.Duration
-		failing  time.Duration // What its failures of late count for.
+		batchFull      bool          // All slots of its batch are taken.
+		firstToken     time.Duration // Time to the first token of an empty prompt.
+		prefillWait    time.Duration // Time until all prompts sent to it are prefilled.
+		perToken       time.Duration
+		failurePenalty time.Duration // Cost of its recent failures.
 	}
 )
 
 func (b *Batch) engine(u *upstr.Upstream) *engine {
 	e := b.engines[u.GetUpstream()]
 	if e == nil || e.Upstream != u {
-		e = &engine{u, b.unknown()}
+		e = &engine{u, b.newEngineStats()}
 		b.engines[u.GetUpstream()] = e
 	}
 	return e
 }
 
-// Speeds returns the time of one answer token that is reckoned with, by upstream.
+// Speeds returns the estimated time per answer token by upstream name.
 func (b *Batch) Speeds() map[string]time.Duration {
 	list := b.table.All()
 	speeds := make(map[string]time.Duration, len(list))
 	for _, u := range list {
-		speeds[u.GetUpstream()] = b.engine(u).pace.perToken()
+		speeds[u.GetUpstream()] = b.engine(u).stats.perToken()
 	}
 	return speeds
 }
 
-// unknown is the pace of an engine of which nothing is known yet.
-func (b *Batch) unknown() *pace { return &pace{whole: 1, shape: &b.shape} }
+// newEngineStats returns the statistics of an engine that has not run anything yet.
+func (b *Batch) newEngineStats() *engineStats { return &engineStats{successShare: 1, costs: &b.costs} }
 
-// known lists the engines in the order of the table. Each decision goes through
-// them, so that they are looked up by name only when the table has changed.
-func (b *Batch) known() []*engine {
+// knownEngines returns the engines in table order. Every decision iterates over them, so an
+// engine is looked up by name only where the table has changed.
+func (b *Batch) knownEngines() []*engine {
 	list := b.table.All()
-	b.all = b.all[:min(len(b.all), len(list))]
+	b.engineList = b.engineList[:min(len(b.engineList), len(list))]
 	for n, u := range list {
 		switch {
-		case n == len(b.all):
-			b.all = append(b.all, b.engine(u))
-		case b.all[n].Upstream != u:
-			b.all[n] = b.engine(u)
+		case n == len(b.engineList):
+			b.engineList = append(b.engineList, b.engine(u))
+		case b.engineList[n].Upstream != u:
+			b.engineList[n] = b.engine(u)
 		}
 	}
-	return b.all
+	return b.engineList
 }
 
-// forget drops what was learnt of upstreams that are no longer known: each
-// incarnation has a name of its own.
-func (b *Batch) forget() {
+// dropStaleEngines drops the statistics of upstreams that are no longer in the table. They would
+// pile up, because each incarnation has a name of its own.
+func (b *Batch) dropStaleEngines() {
 	if len(b.engines) <= 2*len(b.table.All()) {
 		return
 	}
@@ -78,48 +78,49 @@
 	maps.DeleteFunc(b.engines, func(id string, _ *engine) bool { return !known[id] })
 }
 
-// learnMean works out the pace between the slowest and the fastest engine, for
-// what has to be compared before an engine is chosen.
-func (b *Batch) learnMean() {
+// updateMeanEngine sets meanEngine to the mean token time of all engines. It serves comparisons
+// that are made before an engine is chosen.
+func (b *Batch) updateMeanEngine() {
 	sum, n := time.Duration(0), time.Duration(0)
 	for _, e := range b.engines {
-		sum += e.pace.perToken()
+		sum += e.stats.perToken()
 		n++
 	}
-	b.mean = pace{shape: &b.shape}
+	b.meanEngine = engineStats{costs: &b.costs}
 	if n > 0 {
-		b.mean.token = sum / n
+		b.meanEngine.tokenTime = sum / n
 	}
 }
 
-// learnGap notes the shortest pause that the kinds of requests of late allow.
-func (b *Batch) learnGap() {
-	b.gap = 0
-	for _, k := range b.kinds {
-		if k.gap > 0 && (b.gap == 0 || k.gap < b.gap) {
-			b.gap = k.gap
+// updateMaxGap sets maxGap to the shortest of the gaps that the recent requests of the routes
+// accept.
+func (b *Batch) updateMaxGap() {
+	b.maxGap = 0
+	for _, r := range b.routes {
+		if r.maxGap > 0 && (b.maxGap == 0 || r.maxGap < b.maxGap) {
+			b.maxGap = r.maxGap
 		}
 	}
 }
 
-// look lists the engines with room, and reports whether that is only beyond
-// their batches.
-func (b *Batch) look(now time.Time) (beyond bool) {
-	b.open, b.ideal, beyond = b.open[:0], ideal{}, true
-	for _, e := range b.known() {
-		p := e.pace
-		if !e.Live(now) || now.Before(p.out) || (e.GetUnreached() && now.Sub(b.tried) < tryEvery) || !e.Meter.Room(now) {
+// listOffers lists the engines with room and reports whether all of them have it only beyond
+// their batches. That is also true if no engine has room.
+func (b *Batch) listOffers(now time.Time) (batchesFull bool) {
+	b.offers, b.bestCase, batchesFull = b.offers[:0], bestCase{}, true
+	for _, e := range b.knownEngines() {
+		stats := e.stats
+		if !e.Live(now) || now.Before(stats.excludedUntil) || (e.GetUnreached() && now.Sub(b.probedAt) < probeInterval) || !e.Meter.Room(now) {
 			continue
 		}
-		b.ideal.add(p)
-		if e.Running >= e.Limit()+extraPlaces || !b.fits(e.Upstream, 0) {
+		b.bestCase.add(stats)
+		if e.Running >= e.Limit()+engineQueueLimit || !b.fitsCache(e.Upstream, 0) {
 			continue
 		}
-		o := offer{engine: e, beyond: e.Running >= e.Limit(), first: p.expect(now, e.Upstream, 0), perToken: p.perToken()}
-		o.unread = p.wait(now)
-		o.failing = time.Duration((1 - p.whole) * float64(time.Second))
-		b.open = append(b.open, o)
-		beyond = beyond && o.beyond
+		o := offer{engine: e, batchFull: e.Running >= e.Limit(), firstToken: stats.timeToFirstToken(now, e.Upstream, 0), perToken: stats.perToken()}
+		o.prefillWait = stats.wait(now)
+		o.failurePenalty = time.Duration((1 - stats.successShare) * float64(time.Second))
+		b.offers = append(b.offers, o)
+		batchesFull = batchesFull && o.batchFull
 	}
-	return beyond
+	return batchesFull
 }
--- /dev/null
+++ b/core/batch/enginestats.go
@@ -0,0 +1,145 @@
+package batch
+
+import (
+	"time"
+
+	"azurelane/core/upstr"
+	"azurelane/core/wire"
+)
+
+const (
+	// defaultFirstToken is an engine's fixed time before its first token, and defaultTokenTime
+	// its time per answer token, until they are learned. Both are of the magnitude that engines
+	// with one accelerator show.
+	defaultFirstToken = 60 * time.Millisecond
+	defaultTokenTime  = 2500 * time.Microsecond
+	learnRate         = 0.15            // EWMA weight of one usual run.
+	startDivisor      = 16              // defaultTokenTime counts as 1/startDivisor of a usual run.
+	minExclusion      = time.Second     // Exclusion of an upstream after a failure.
+	maxExclusion      = 8 * time.Second // Exclusion after many failures in a row.
+	allowedFailures   = 2               // Failures in a row that do not exclude an upstream that answers.
+)
+
+// engineStats holds what was learned about one upstream.
+type engineStats struct {
+	backlog
+
+	costs     *costModel    // Of its pool; nil if there is none.
+	tokenTime time.Duration // Per answer token; zero before the first run.
+	// tokenSum counts the answer tokens of recent runs, and decodeSum the time from their first
+	// tokens to their ends.
+	tokenSum        float64
+	decodeSum       time.Duration
+	learnedOverhead time.Duration // From the grant to the first token, without waiting and prefill.
+	failures        int           // In a row.
+	excludedUntil   time.Time     // The upstream gets no grants before.
+	seq             uint64        // Of the last announcement before the exclusion.
+	successShare    float64       // EWMA of the share of runs that ended well.
+}
+
+func (s *engineStats) perToken() time.Duration {
+	if s.tokenTime == 0 {
+		return defaultTokenTime
+	}
+	return s.tokenTime
+}
+
+// prefillTime returns the time that the engine takes to prefill a prompt.
+func (s *engineStats) prefillTime(prompt int64) time.Duration {
+	return time.Duration(float64(s.perToken()) * s.costs.prefillSteps(prompt))
+}
+
+// decodeTime returns the time from the first token of an answer to its end.
+func (s *engineStats) decodeTime(answer int64) time.Duration {
+	return time.Duration(answer) * s.perToken()
+}
+
+// slotTime returns how long a run occupies a slot.
+func (s *engineStats) slotTime(prompt, answer int64) time.Duration {
+	return s.overhead() + s.prefillTime(prompt) + s.decodeTime(answer)
+}
+
+func (s *engineStats) overhead() time.Duration {
+	if s.learnedOverhead == 0 {
+		return defaultFirstToken
+	}
+	return s.learnedOverhead
+}
+
+// timeToFirstToken returns the time from now to the first token for a prompt.
+func (s *engineStats) timeToFirstToken(now time.Time, u *upstr.Upstream, prompt int64) time.Duration {
+	d := s.wait(now) + s.overhead() + s.prefillTime(prompt)
+	if over := u.Running - u.Limit(); over >= 0 {
+		// The request waits in the engine's queue for a free slot. The slots of a batch become
+		// free evenly, about one in each average run time divided by the batch size.
+		d += time.Duration(float64(over+1) * s.costs.usualAnswer() * float64(s.perToken()) / float64(max(u.Limit(), 1)))
+	}
+	return d
+}
+
+// addPrompt records a prompt that was granted.
+func (s *engineStats) addPrompt(now time.Time, prompt int64) { s.add(now, s.prefillTime(prompt)) }
+
+// addRun learns from a run that ended well.
+func (s *engineStats) addRun(now time.Time, r *wire.Release, prompt, eventTokens int64, wait time.Duration) {
+	s.failures, s.excludedUntil = 0, time.Time{}
+	s.successShare += learnRate * (1 - s.successShare)
+	first := time.Duration(r.GetFirstTokenUs()) * time.Microsecond
+	total := time.Duration(r.GetTotalUs()) * time.Microsecond
+	if first <= 0 || total < first {
+		return
+	}
+	if n := (r.GetPieces() - 1) * eventTokens; n > 0 {
+		s.addDecode(float64(n), total-first)
+	}
+	if s.costs != nil && s.tokenTime > 0 {
+		s.costs.addRun(now, prompt, r.GetPieces()*eventTokens, float64(max(first-wait, 0))/float64(s.tokenTime))
+	}
+	if s.costs != nil && s.tokenTime > 0 && r.GetPieces() > 1 && r.GetGapUs() > 0 {
+		s.costs.addGap(float64(r.GetGapUs()) * float64(time.Microsecond) / float64(time.Duration(eventTokens)*s.tokenTime))
+	}
+	// Before the cost model is known, this remainder would include a part of the prefill. The
+	// upstream would seem slow to begin, get no further requests, and never be measured better.
+	if overhead := first - wait - s.prefillTime(prompt); overhead > 0 && s.costs.known() {
+		s.learnedOverhead = ewma(s.learnedOverhead, overhead)
+	}
+}
+
+// addDecode learns the time per token from a run's tokens and the time that they took. It sums
+// both, so that a run counts by its length. One pause for the prefill of another prompt makes an
+// answer of three events seem ten times as slow, and most answers are that short. By the mean
+// over runs, engines that generate a token in 5 to 20 ms were estimated at up to 220 ms, and
+// callers with long answers were refused because no engine seemed able to complete them.
+func (s *engineStats) addDecode(tokens float64, took time.Duration) {
+	usual := s.costs.usualAnswer()
+	if s.tokenSum == 0 {
+		s.tokenSum = usual / startDivisor
+		s.decodeSum = time.Duration(s.tokenSum * float64(s.perToken()))
+	}
+	s.tokenSum += tokens
+	s.decodeSum += took
+	if most := usual / learnRate; s.tokenSum > most {
+		s.decodeSum = time.Duration(float64(s.decodeSum) * most / s.tokenSum)
+		s.tokenSum = most
+	}
+	s.tokenTime = time.Duration(float64(s.decodeSum) / s.tokenSum)
+}
+
+// addFailure excludes the upstream for a while: at once if it was unreachable or broke off before
+// its first token, otherwise after more than allowedFailures failures in a row. The exclusion
+// doubles with each failure, up to maxExclusion.
+func (s *engineStats) addFailure(now time.Time, answered bool, seq uint64) {
+	s.failures++
+	s.successShare -= learnRate * s.successShare
+	if answered && s.failures <= allowedFailures {
+		return
+	}
+	s.excludedUntil, s.seq = now.Add(min(minExclusion<<min(s.failures-1, 5), maxExclusion)), seq
+}
+
+func ewma(old, seen time.Duration) time.Duration {
+	if old == 0 {
+		return seen
+	}
+	return old + time.Duration(learnRate*float64(seen-old))
+}
--- a/core/batch/item.go
+++ b/core/batch/item.go
@@ -8,100 +8,98 @@
 )
 
 const (
-	// priorityFactor is how much more a unit of work of one priority counts
-	// than of the next: enough that a short run of the next one seldom goes before a
-	// usual run, and little enough that bulk work moves where it takes little time.
+	// priorityFactor is the ratio between the values of a unit of work at one priority and at the
+	// next less urgent one. It is high enough that a short run of the less urgent priority seldom
+	// goes before a usual run, and low enough that bulk work proceeds where it takes little time.
 	priorityFactor = 2.6
-	// lateCredit is the part of an answer's value that is left for its caller when it
-	// is late: less than a third, so that it takes the place of nobody who can still be
-	// in time.
-	lateCredit = 0.29
-	// answerWeight is the size of an answer token in prompt tokens: engines take longer
-	// for one by about that, and callers pay for both by it.
-	answerWeight = 10
-	// fixedWorth is the part of a request's value that does not depend on its size: a
-	// caller needs a short answer, too.
-	fixedWorth = 0.3
-	// lateWait is the part of its time, one in so many, that a request waits
-	// which comes too late to be on time.
-	lateWait = 6
-	// returnCredit is what a request that came back counts beside its late credit: its
-	// caller was told to come, and a second refusal is its last one.
-	returnCredit = 0.3
-	// sparePart is the part of its time, one in so many, for which a request leaves
-	// places to others where it would make their answers pause. After that its own
-	// caller's wait counts more.
-	sparePart = 3
-	never     = time.Duration(math.MaxInt64) // Later than any moment.
+	// lateValue is the share of an answer's value that remains for its caller if the answer is
+	// late. It is below one third, so that a late request takes no slot from a request that can
+	// still be in time.
+	lateValue = 0.29
+	// answerTokenWeight is the size of an answer token in prompt tokens. Engines take longer for
+	// an answer token by about this factor, and callers pay for both in this proportion.
+	answerTokenWeight = 10
+	// fixedValue is the share of a request's value that does not depend on its size, because
+	// callers need short answers, too.
+	fixedValue = 0.3
+	// A request that arrives too late for its objective waits for 1/retryWaitDivisor of the time
+	// to its deadline.
+	retryWaitDivisor = 6
+	// retryValue is added to lateValue for a retry. Its caller was told to come back, and does
+	// not come back after a second refusal.
+	retryValue = 0.3
+	// A request avoids engines where it would stall other answers for the first 1/yieldDivisor of
+	// the time to its objective. After that its own caller's wait counts more.
+	yieldDivisor = 3
+	never        = time.Duration(math.MaxInt64) // Later than any time.
 )
 
 type (
 	// item is a waiting ticket.
 	item struct {
 		*wire.Ticket
-		// Moments are spans since the policy's start: each decision compares those of
-		// all that wait.
-		onTime time.Duration // The first piece is late after it.
-		spare  time.Duration // Until then it can wait for a better place than the next one.
-		end    time.Duration // Nothing is of use after it.
-		giveUp time.Duration // It is refused when it still waits then.
-		// earns is what it earns a second of the place that it takes, in time. Half
-		// of it is that of a usual request of its kind: small requests earn more for
-		// their time, and by their own alone the large ones would be the first
-		// to be refused whenever there is too much to do.
-		earns    float64
-		priority int32
-		prompt   int64
-		answer   int64   // Tokens to reckon with, by its caller's estimate.
-		reads    float64 // Time of reading the prompt, in times of an answer token.
-		kind     *kind
-		class    sizeClass
-		returned bool // It came back after a refusal or a run that broke off.
+		// Times are durations since the policy started, as each decision compares those of all
+		// waiting tickets.
+		objective  time.Duration // The first token is late after this time.
+		yieldUntil time.Duration // Until then it avoids engines where it would stall other answers.
+		deadline   time.Duration // The answer is of no use after this time.
+		refuseAt   time.Duration // It is refused if it still waits at this time.
+		// valueRate is the value per second of slot time. Half of it is that of a usual request
+		// of the route. Small requests have a higher value rate; by their own rates alone, large
+		// requests would be the first to be refused under overload.
+		valueRate    float64
+		priority     int32
+		prompt       int64
+		answer       int64   // Expected tokens, corrected from the caller's estimate.
+		prefillSteps float64 // Prefill time in decode steps.
+		routeStats   *routeStats
+		class        sizeClass
+		isRetry      bool // It was refused before, or a run of it broke off.
 	}
 )
 
-func size(t *wire.Ticket) float64 {
-	return float64(t.GetPromptTokens() + answerWeight*t.GetAnswerTokens())
+func ticketSize(t *wire.Ticket) float64 {
+	return float64(t.GetPromptTokens() + answerTokenWeight*t.GetAnswerTokens())
 }
 
-func newItem(now time.Duration, t *wire.Ticket, k *kind, p *pace) *item {
-	i := &item{Ticket: t, priority: t.GetPriority(), prompt: t.GetPromptTokens(), answer: k.length.expect(t.GetAnswerTokens()), reads: p.shape.reads(t.GetPromptTokens()), onTime: never}
+func newItem(now time.Duration, t *wire.Ticket, route *routeStats, mean *engineStats) *item {
+	i := &item{Ticket: t, priority: t.GetPriority(), prompt: t.GetPromptTokens(), answer: route.answers.expected(t.GetAnswerTokens()), prefillSteps: mean.costs.prefillSteps(t.GetPromptTokens()), objective: never}
 	if t.GetObjectiveUs() != 0 {
-		i.onTime = now + time.Duration(t.GetObjectiveUs())*time.Microsecond
+		i.objective = now + time.Duration(t.GetObjectiveUs())*time.Microsecond
 	}
-	i.end = now + time.Duration(t.GetDeadlineUs())*time.Microsecond
-	i.giveUp = i.end - firstToken
-	switch left := i.onTime - now; {
-	case i.onTime == never:
-	case left > firstToken:
-		i.giveUp = i.onTime - firstToken
-		i.spare = now + left/sparePart
+	i.deadline = now + time.Duration(t.GetDeadlineUs())*time.Microsecond
+	i.refuseAt = i.deadline - defaultFirstToken
+	switch left := i.objective - now; {
+	case i.objective == never:
+	case left > defaultFirstToken:
+		i.refuseAt = i.objective - defaultFirstToken
+		i.yieldUntil = now + left/yieldDivisor
 	default:
-		// It came late, after a refusal or a run that broke off. Whatever it
-		// still earns is worth some of its time, but not all of it: a refusal after a
-		// long wait leaves the caller no time for anything else.
-		i.returned = true
-		i.giveUp = now + (i.end-now)/lateWait
+		// The request arrives late, after a refusal or a run that broke off. The value that it
+		// still has justifies waiting for a part of its time, but not for all of it: a refusal
+		// after a long wait leaves the caller no time for anything else.
+		i.isRetry = true
+		i.refuseAt = now + (i.deadline-now)/retryWaitDivisor
 	}
-	i.kind, i.class = k, k.seen(t)
-	k.seenAt = now
-	k.rate.add(now)
-	worth := math.Pow(priorityFactor, -float64(t.GetPriority()+t.GetAccountPriority())) * k.size
-	usual := p.place(int64(k.prompt), int64(k.answer))
-	own := p.place(i.prompt, i.answer)
-	part := fixedWorth + (1-fixedWorth)*size(t)/k.size
-	i.earns = worth * (1/usual.Seconds() + part/own.Seconds())
+	i.routeStats, i.class = route, route.addRequest(t)
+	route.lastRequest = now
+	route.arrivals.add(now)
+	value := math.Pow(priorityFactor, -float64(t.GetPriority()+t.GetAccountPriority())) * route.meanSize
+	usualTime := mean.slotTime(int64(route.meanPrompt), int64(route.meanAnswer))
+	ownTime := mean.slotTime(i.prompt, i.answer)
+	relativeValue := fixedValue + (1-fixedValue)*ticketSize(t)/route.meanSize
+	i.valueRate = value * (1/usualTime.Seconds() + relativeValue/ownTime.Seconds())
 	return i
 }
 
-// score is what it earns when its first piece comes at a time.
-func (i *item) score(first time.Duration) float64 {
-	earns := i.earns * i.kind.weights[i.class] * i.kind.urgency
+// score returns the value rate of the ticket if its first token comes at the given time.
+func (i *item) score(firstToken time.Duration) float64 {
+	rate := i.valueRate * i.routeStats.weights[i.class] * i.routeStats.boost
 	switch {
-	case i.returned:
-		return earns * (lateCredit + returnCredit)
-	case first > i.onTime:
-		return earns * lateCredit
+	case i.isRetry:
+		return rate * (lateValue + retryValue)
+	case firstToken > i.objective:
+		return rate * lateValue
 	}
-	return earns
+	return rate
 }
--- a/core/batch/rate.go
+++ b/core/batch/rate.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// rateSpan is the time over which a rate is taken: longer than bursts within a second,
-// and short enough to follow those of some seconds.
-const rateSpan = 5 * time.Second
+// rateTimeConstant is the time constant of an arrivalRate: longer than bursts within a second,
+// and short enough to follow bursts of several seconds.
+const rateTimeConstant = 5 * time.Second
 
-// rate is how many come a second, of late. The zero value has seen none.
-type rate struct {
-	count float64 // Faded.
-	at    time.Duration
+// arrivalRate measures the recent requests per second. The zero value has seen none.
+type arrivalRate struct {
+	count     float64 // Exponentially decayed.
+	updatedAt time.Duration
 }
 
-func (r *rate) add(now time.Duration) {
-	r.count = r.count*math.Exp(-(now-r.at).Seconds()/rateSpan.Seconds()) + 1
-	r.at = now
+func (r *arrivalRate) add(now time.Duration) {
+	r.count = r.count*math.Exp(-(now-r.updatedAt).Seconds()/rateTimeConstant.Seconds()) + 1
+	r.updatedAt = now
 }
 
-func (r *rate) perSecond() float64 { return r.count / rateSpan.Seconds() }
+func (r *arrivalRate) perSecond() float64 { return r.count / rateTimeConstant.Seconds() }
--- a/core/batch/meter_test.go
+++ b/core/batch/ratelimit_test.go
@@ -9,21 +9,21 @@
 	"azurelane/core/wire"
 )
 
-func (e *engines) limit(name string, slots int64, perSecond float64) {
-	e.next++
+func (e *harness) announceLimit(name string, slots int64, perSecond float64) {
+	e.lastID++
 	e.Announce(e.now, &wire.Announce{
 		Upstream: name, Address: name + ":80", Pools: []string{"engines"}, MaxRunning: slots, LeaseUs: time.Hour.Microseconds(),
-		Seq: e.next, Limit: &wire.Limit{PerSecond: perSecond},
+		Seq: e.lastID, Limit: &wire.Limit{PerSecond: perSecond},
 	})
 }
 
-// Guards against an engine that gets more than the limit that it names because its
-// places are free, and against urgent requests that wait behind others for what it takes.
-func TestEngineWithALimit(t *testing.T) {
-	e := newEngines(8, "a", "b")
-	e.limit("a", 8, 2)
+// Guards against an engine that gets more requests than its announced rate limit because it has
+// free slots, and against urgent requests that wait behind others for the rate that is left.
+func TestRateLimitedEngine(t *testing.T) {
+	e := newHarness(8, "a", "b")
+	e.announceLimit("a", 8, 2)
 	var got []*wire.Decision
-	for n := range 80 { // Two seconds, as answers take 100 ms.
+	for n := range 80 { // Two seconds; answers take less than 25 ms.
 		e.now = e.now.Add(25 * time.Millisecond)
 		route, priority := "bulk", int32(2)
 		if n%2 == 0 {
@@ -31,7 +31,7 @@
 		}
 		for _, d := range e.Submit(e.now, e.ticket(route, priority, 100, 10)) {
 			got = append(got, d)
-			e.end(d, 10*time.Millisecond, 20*time.Millisecond, 1)
+			e.release(d, 10*time.Millisecond, 20*time.Millisecond, 1)
 		}
 	}
 	limited := 0
@@ -44,24 +44,24 @@
 	must.Len(t, 80, got)
 	must.LessEq(t, 2*2+2, limited)
 
-	e = newEngines(8, "a")
-	e.limit("a", 8, 2)
+	e = newHarness(8, "a")
+	e.announceLimit("a", 8, 2)
 	bulk, urgent := e.ticket("bulk", 2, 100, 10), e.ticket("urgent", 0, 100, 10)
 	must.SliceEmpty(t, e.Submit(e.now, bulk))
 	must.SliceEmpty(t, e.Submit(e.now, urgent))
 	e.now = e.now.Add(510 * time.Millisecond)
 	bulk.ObjectiveUs, urgent.ObjectiveUs = time.Second.Microseconds(), time.Second.Microseconds()
-	must.Eq(t, []uint64{urgent.GetId()}, granted(t, e.assign(e.now)))
+	must.Eq(t, []uint64{urgent.GetId()}, grantedIDs(t, e.assign(e.now)))
 }
 
-// Guards against requests that are kept for places which limits leave unused.
-func TestCapacityUnderALimit(t *testing.T) {
-	e := newEngines(8, "a", "b")
-	waiting := []*item{newItem(0, e.ticket("usual", 1, 100, 100), &kind{}, &e.mean)}
+// Guards against requests that are kept waiting for slots which rate limits leave unused.
+func TestCapacityUnderRateLimit(t *testing.T) {
+	e := newHarness(8, "a", "b")
+	waiting := []*item{newItem(0, e.ticket("usual", 1, 100, 100), &routeStats{}, &e.meanEngine)}
 	e.waiting = waiting
 	free := e.capacity()
 	e.waiting = nil
-	e.limit("a", 8, 1)
+	e.announceLimit("a", 8, 1)
 	e.waiting = waiting
 	must.Between(t, free/2, e.capacity(), free/2+1)
 }
--- a/core/batch/run_test.go
+++ b/core/batch/run_test.go
@@ -7,25 +7,25 @@
 )
 
 type (
-	// run is one that was granted, and when its answer is whole.
-	run struct {
+	// activeRun is a granted run with the time at which its answer is complete.
+	activeRun struct {
 		*wire.Decision
 		ends time.Time
 	}
 
-	runs []run
+	activeRuns []activeRun
 )
 
-// ended takes those out that have ended.
-func (r *runs) ended(now time.Time) runs {
-	var on, over runs
+// takeEnded removes and returns the runs that have ended.
+func (r *activeRuns) takeEnded(now time.Time) activeRuns {
+	var active, ended activeRuns
 	for _, one := range *r {
 		if now.Before(one.ends) {
-			on = append(on, one)
+			active = append(active, one)
 			continue
 		}
-		over = append(over, one)
+		ended = append(ended, one)
 	}
-	*r = on
-	return over
+	*r = active
+	return ended
 }
--- a/core/batch/shed.go
+++ b/core/batch/shed.go
@@ -7,93 +7,93 @@
 )
 
 const (
-	// shedEvery is the time between two looks at whom the places to come can't reach:
-	// callers hear it within the time that they would hardly notice, and the scheduler
-	// sorts what waits that often only.
-	shedEvery = 40 * time.Millisecond
-	// shedSpan is the time over which the rate of grants is taken.
-	shedSpan = 500 * time.Millisecond
-	// shedMargin is by how much the expected wait must be longer than a request can
-	// wait. Rates vary, and some of those ahead go away; refused on a mere even chance,
-	// requests would come back that could have been served.
+	// shedInterval is the time between two searches for tickets that no slot will reach. Callers
+	// hardly notice a delay of this length, and the queue is sorted only this often.
+	shedInterval = 40 * time.Millisecond
+	// shedWindow is the time over which the rate of grants is measured.
+	shedWindow = 500 * time.Millisecond
+	// shedMargin is the factor by which the expected wait must exceed the time that a ticket can
+	// wait. Rates vary, and some of the tickets ahead go away. With a lower factor, requests that
+	// could have been served would be refused on a mere even chance.
 	shedMargin = 1.5
-	// shedLeast is the part of what all places could begin by their usual runs that the
-	// rate is taken for at least: engines that stand still for a moment go on.
-	shedLeast = 0.5
+	// minGrantShare is the least rate of grants that is assumed, as a share of the capacity,
+	// because engines that pause for a moment go on.
+	minGrantShare = 0.5
 )
 
-// shed is what tells early who will not get a place. The zero value knows nothing.
+// shedder refuses early the tickets that will not get a slot. The zero value has no data yet.
 //
-// In a burst far more wait than places become free within their objectives. Kept until
-// their objective is over, those at the end of the line wait for nothing: they come back
-// later than they could, and the line is so long that each decision looks at thousands.
-// As the order is known, so is how many are ahead of each.
-type shed struct {
-	looked time.Duration // Since the policy's start.
-	since  time.Duration // When the current count began.
-	count  int           // Grants since then.
-	rate   float64       // Grants a second in the span before, zero while not known.
-	order  []*item
+// In a burst far more tickets wait than slots become free within their objectives. If they were
+// kept until their objectives pass, those at the end of the queue would wait for nothing: their
+// callers would retry later than they could, and the queue would be so long that each decision
+// scans thousands of tickets. The order of the queue is known, and so is the number of tickets
+// ahead of each.
+type shedder struct {
+	searchedAt  time.Duration // Since the policy started.
+	windowStart time.Duration // Start of the current window, since the policy started.
+	grants      int           // Grants in the current window.
+	grantRate   float64       // Grants per second in the previous window; zero while unknown.
+	sorted      []*item
 }
 
-// granted counts a grant.
-func (s *shed) granted(now time.Duration) {
-	s.count++
-	s.roll(now)
+func (s *shedder) addGrant(now time.Duration) {
+	s.grants++
+	s.rollWindow(now)
 }
 
-// roll ends a span.
-func (s *shed) roll(now time.Duration) {
-	if d := now - s.since; d >= shedSpan {
-		s.rate = float64(s.count) / d.Seconds()
-		s.since, s.count = now, 0
+// rollWindow starts a new window if the current one has ended.
+func (s *shedder) rollWindow(now time.Duration) {
+	if d := now - s.windowStart; d >= shedWindow {
+		s.grantRate = float64(s.grants) / d.Seconds()
+		s.windowStart, s.grants = now, 0
 	}
 }
 
-// due reports whether it is time for a look.
-func (s *shed) due(now time.Duration) bool {
-	s.roll(now)
-	if now-s.looked < shedEvery {
+// due reports whether it is time for the next search.
+func (s *shedder) due(now time.Duration) bool {
+	s.rollWindow(now)
+	if now-s.searchedAt < shedInterval {
 		return false
 	}
-	s.looked = now
-	return s.rate > 0
+	s.searchedAt = now
+	return s.grantRate > 0
 }
 
-// hopeless marks those who wait for more places than will become free while they can
-// wait, by the order in which they get them. Least is the least rate to reckon with.
-func (s *shed) hopeless(now time.Duration, waiting []*item, least float64) {
-	rate := max(s.rate, least)
-	s.order = append(s.order[:0], waiting...)
-	slices.SortFunc(s.order, func(a, b *item) int { return cmp.Compare(b.score(now), a.score(now)) })
+// markUnreachable marks for refusal the tickets that have more tickets ahead of them, in the
+// order of scores, than slots become free while they can wait. minRate is the least rate to
+// assume, in grants per second.
+func (s *shedder) markUnreachable(now time.Duration, waiting []*item, minRate float64) {
+	rate := max(s.grantRate, minRate)
+	s.sorted = append(s.sorted[:0], waiting...)
+	slices.SortFunc(s.sorted, func(a, b *item) int { return cmp.Compare(b.score(now), a.score(now)) })
 	ahead := 0.0
-	for _, i := range s.order {
-		if ahead/rate > shedMargin*(i.giveUp-now).Seconds() {
-			i.giveUp = now
+	for _, i := range s.sorted {
+		if ahead/rate > shedMargin*(i.refuseAt-now).Seconds() {
+			i.refuseAt = now
 			continue
 		}
 		ahead++
 	}
 }
 
-// capacity is how many requests a second all places could begin, by the usual runs of
-// what waits and the limits that engines name.
+// capacity returns how many requests per second all slots could start, by the slot times of the
+// waiting tickets and the rate limits that engines announce.
 func (b *Batch) capacity() float64 {
 	var sum time.Duration
 	for _, i := range b.waiting {
-		sum += b.mean.place(i.prompt, i.answer)
+		sum += b.meanEngine.slotTime(i.prompt, i.answer)
 	}
 	if sum == 0 {
 		return 0
 	}
-	run := sum.Seconds() / float64(len(b.waiting))
-	all := 0.0
-	for _, e := range b.known() {
-		rate := float64(e.Limit()) / run
+	meanSlotTime := sum.Seconds() / float64(len(b.waiting))
+	total := 0.0
+	for _, e := range b.knownEngines() {
+		rate := float64(e.Limit()) / meanSlotTime
 		if limit, ok := e.Meter.Rate(); ok {
 			rate = min(rate, limit)
 		}
-		all += rate
+		total += rate
 	}
-	return all
+	return total
 }
--- /dev/null
+++ b/core/batch/toppriority.go
@@ -0,0 +1,29 @@
+package batch
+
+import (
+	"slices"
+	"time"
+)
+
+// topPriorityTTL is how long a priority stays the top priority without a new request.
+const topPriorityTTL = 30 * time.Second
+
+// topPriority is the most urgent priority requested recently. Only its requests may wait at an
+// engine beyond its batch. A less urgent request there would take the next free slot before any
+// more urgent one that arrives meanwhile, and with runs of a second that is a long wait.
+type topPriority struct {
+	priority int32
+	seenAt   time.Time
+}
+
+// includes reports whether a ticket has the top priority.
+func (p *topPriority) includes(i *item) bool { return i.priority <= p.priority }
+
+// includesAny reports whether any ticket of the list has the top priority.
+func (p *topPriority) includesAny(list []*item) bool { return slices.ContainsFunc(list, p.includes) }
+
+func (p *topPriority) observe(now time.Time, priority int32) {
+	if priority <= p.priority || now.Sub(p.seenAt) > topPriorityTTL {
+		p.priority, p.seenAt = priority, now
+	}
+}
