--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -37,13 +37,13 @@
 	// maxCacheUse is the share of an engine's KV cache that may be promised to requests.
 	maxCacheUse   = 0.95
 	startGrace    = 1500 * time.Millisecond // How long a new owner waits for announcements before it refuses requests.
-	forgetAfter   = time.Minute
-	sweepInterval = 200 * time.Millisecond // Interval between checks of all slots and upstreams.
+	forgetAfter   = time.Minute             // From the end of an upstream's lease.
+	sweepInterval = 200 * time.Millisecond  // Interval between checks of all slots and upstreams.
 	// probeInterval is the time between two grants to engines that seem cut off. It is short
 	// enough to notice soon that they are back, and long enough that few requests wait there in
 	// vain.
 	probeInterval = 400 * time.Millisecond
-	runGrace      = 10 * time.Second
+	runGrace      = 10 * time.Second // Time beyond the pool's longest run after which a slot is swept.
 	// minRetryAfter and maxRetryAfter bound the retry time in a refusal. Shortages last for
 	// seconds: callers that retry within a second meet the same shortage and are refused again,
 	// and after more than three seconds most of them have no time left.
--- a/core/batch/costmodel.go
+++ b/core/batch/costmodel.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"azurelane/core/bend"
+	"azurelane/core/curve"
 )
 
 const (
@@ -37,7 +37,7 @@
 // time of a prompt in decode steps, and the length of answers. The zero value has learned
 // nothing.
 type costModel struct {
-	prefillFit bend.Bend // Decode steps to the first token, by thousands of prompt tokens.
+	prefillFit curve.Fit // Decode steps to the first token, by thousands of prompt tokens.
 	lastRun    time.Time
 	runs       int
 	meanAnswer float64 // In tokens.
@@ -61,8 +61,8 @@
 	keep := max(math.Exp(-now.Sub(m.lastRun).Seconds()/costTimeConstant.Seconds()), minKeep)
 	m.lastRun = now
 	m.prefillFit.Add(keep, float64(prompt)/kilotoken, steps)
-	m.prefillLinear, m.prefillSquare = m.prefillFit.Rise()
-	if m.prefillFit.Alike() {
+	m.prefillLinear, m.prefillSquare = m.prefillFit.Coefficients()
+	if m.prefillFit.Degenerate() {
 		// With prompts of one length, the time to the first token could be all prefill or none.
 		// When all of it was taken for prefill, each prompt seemed to delay the next one by that
 		// time, and callers that had come first seemed late and were passed over for newer ones.
--- a/core/batch/fairness_test.go
+++ b/core/batch/fairness_test.go
@@ -90,8 +90,8 @@
 // time. Each run pauses for 0.4 s in all while other prompts are prefilled: a short answer of
 // three events then seems to take 26 ms per token, a long one 3.4 ms. If most runs are short, the
 // engines seem too slow to end a long answer in time. In a replay of a day, engines that took 5
-// to 20 ms per token were estimated at 11 to 67 ms (`Speeds of upstreams.`), and 62 of 79 of the
-// longest answers were refused. In this test they end in a seventh of their time.
+// to 20 ms per token were estimated at 11 to 67 ms (log line `Speeds of upstreams.`), and 62 of
+// 79 of the longest answers were refused. In this test they end in a seventh of their time.
 func TestShortAnswersDoNotSkewTokenTime(t *testing.T) {
 	const small, large = 20, 1200
 	got := placedShares(routeLoad{"usual", 1, 200, 70 * time.Millisecond, func(n int) int64 {
--- a/core/batch/length.go
+++ b/core/batch/length.go
@@ -10,7 +10,7 @@
 // longest estimates are mostly too long and the shortest too short, by regression to the mean.
 // The zero value returns estimates unchanged.
 type lengthEstimator struct {
-	fit  slope.Slope // Over the logarithms of tokens, because estimates are off by factors.
+	fit  slope.Fit // Over the logarithms of tokens, because estimates are off by factors.
 	runs int
 }
 
--- a/core/batch/ratelimit_test.go
+++ b/core/batch/ratelimit_test.go
@@ -23,7 +23,7 @@
 	e := newHarness(8, "a", "b")
 	e.announceLimit("a", 8, 2)
 	var got []*wire.Decision
-	for n := range 80 { // Two seconds; answers take less than 25 ms.
+	for n := range 80 { // Two seconds in all.
 		e.now = e.now.Add(25 * time.Millisecond)
 		route, priority := "bulk", int32(2)
 		if n%2 == 0 {
--- a/core/batch/replay_test.go
+++ b/core/batch/replay_test.go
@@ -112,9 +112,9 @@
 // longer for the prefills beside it, by about 0.1 s in each second.
 func (r *replay) start(q *request, d *wire.Decision) {
 	const (
-		base     = 30 * time.Millisecond
+		base          = 30 * time.Millisecond
 		promptPerStep = 200 // Prompt tokens that are prefilled in one decode step.
-		slowdown = 1.1
+		slowdown      = 1.1
 	)
 	up := d.GetGrant().GetUpstream()
 	start := r.now
--- a/core/bend/bend_test.go
+++ b/core/curve/curve_test.go
@@ -1,4 +1,4 @@
-package bend
+package curve
 
 import (
 	"math/rand/v2"
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Prompts of all lengths are read, many short and few long ones, and each time
-// scatters by a fifth. The times of the longest are told within a tenth, whether
-// the time grows with the length, with its square, or with both.
-func TestRise(t *testing.T) {
+// Prompts of many lengths, most of them short, are fitted with times that scatter by a fifth. The
+// times of the longest prompts must be estimated within a tenth, whether they grow with the
+// length, with its square, or with both.
+func TestCoefficients(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		a, b, c    float64
@@ -24,18 +24,18 @@
 		{"nothing of it", 20, 0, 0, 0.2, 40},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var f Bend
+			var f Fit
 			rnd := rand.New(rand.NewPCG(1, 2))
 			for range 3000 {
 				x := tc.from + tc.span*rnd.Float64()*rnd.Float64()*rnd.Float64()
 				f.Add(0.999, x, (tc.a+tc.b*x+tc.c*x*x)*(0.8+0.4*rnd.Float64()))
 			}
-			linear, square := f.Rise()
+			linear, square := f.Coefficients()
 			x := tc.from + tc.span
 			want := tc.b*x + tc.c*x*x
 			must.Between(t, 0.9*want-0.1*tc.a, linear*x+square*x*x, 1.1*want+0.1*tc.a)
 		})
 	}
-	linear, square := new(Bend).Rise()
+	linear, square := new(Fit).Coefficients()
 	must.Eq(t, 0, linear+square)
 }
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -19,13 +19,13 @@
 	trial int     // Slots allowed while it comes back; zero when in service.
 	most  float64 // Requests at once; zero for as many as announced.
 
-	first slope.Slope // Seconds to the first token, by prompt tokens.
-	rest  slope.Slope // Seconds from the first to the last token, by answer tokens.
-	whole plane.Plane // Seconds of answers in one piece, which don't show the two apart.
-	miss  float64     // Mean part by which the expectation was missed.
-	unit  float64     // Least seconds to the first token for each prompt token.
-	wait  float64     // Part of a run that is spent in the upstream's own queue.
-	calm  int         // Runs since most was last lowered.
+	first slope.Fit // Seconds to the first token, by prompt tokens.
+	rest  slope.Fit // Seconds from the first to the last token, by answer tokens.
+	whole plane.Fit // Seconds of answers in one piece, which don't show the two apart.
+	miss  float64   // Mean part by which the expectation was missed.
+	unit  float64   // Least seconds to the first token for each prompt token.
+	wait  float64   // Part of a run that is spent in the upstream's own queue.
+	calm  int       // Runs since most was last lowered.
 
 	good   time.Time     // Last success.
 	fails  int           // Failures in a row.
@@ -63,14 +63,14 @@
 func Cost(prompt, answer int64) float64 { return 1 + float64(prompt)/16 + float64(answer) }
 
 // Known reports whether a run has come back.
-func (l *Limit) Known() bool { return l.first.Known() || l.whole.Known() }
+func (l *Limit) Known() bool { return l.first.HasData() || l.whole.HasData() }
 
 // Expect is the time that a run takes from dispatch to its end, at the batch
 // sizes of late. It is zero while nothing is known.
 func (l *Limit) Expect(prompt, answer int64, cached bool) time.Duration {
 	x, y := worked(prompt, cached), float64(answer)
 	s := l.first.At(x) + l.rest.At(y)
-	if !l.first.Known() {
+	if !l.first.HasData() {
 		s = l.whole.At(x+wholeOffset, y)
 	}
 	return time.Duration(s * float64(time.Second))
@@ -100,7 +100,7 @@
 		l.crowd(x, first, total, running, announced)
 	} else {
 		l.whole.Add(x+wholeOffset, float64(answer), total.Seconds())
-		if l.first.Known() {
+		if l.first.HasData() {
 			l.rest.Add(float64(answer), max(total.Seconds()-l.first.At(x), 0))
 		}
 	}
--- a/core/slope/slope.go
+++ b/core/slope/slope.go
@@ -1,61 +1,60 @@
-// Package slope fits a line to observations that fade with age.
+// Package slope fits a line to observations that lose weight with age.
 package slope
 
-// Slope is a weighted least-squares line through (x, y), where each new
-// observation takes a little weight from all older ones. The zero value has
-// seen nothing and is ready.
-type Slope struct {
-	n, x, xx, y, xy float64 // Faded sums.
+// Fit is a weighted least-squares line through (x, y). Each new observation reduces the weight of
+// all older ones. The zero value has no observations and is ready to use.
+type Fit struct {
+	n, x, xx, y, xy float64 // Sums with exponential decay.
 }
 
-// fade is what an observation keeps of its weight when the next one comes:
-// about fifty count, so that a changed speed shows within some dozen runs.
-const fade = 0.98
+// decay is the factor by which each new observation reduces the weight of older ones. About fifty
+// observations count, so that a changed speed shows within some dozen runs.
+const decay = 0.98
 
-// flat is the part of x's mean square that its variance must exceed for the
-// incline to be told from the offset.
-const flat = 0.01
+// minVarianceShare is the share of x's mean square that its variance must exceed to distinguish
+// the slope from the offset.
+const minVarianceShare = 0.01
 
-// Add takes one observation. Its weight falls with x, so that the few long
-// requests don't drown the many short ones.
-func (s *Slope) Add(x, y float64) {
+// Add adds an observation. Its weight falls with x, so that a few long requests do not outweigh
+// many short ones.
+func (f *Fit) Add(x, y float64) {
 	w := 1 / (1 + x)
-	s.n = s.n*fade + w
-	s.x = s.x*fade + w*x
-	s.xx = s.xx*fade + w*x*x
-	s.y = s.y*fade + w*y
-	s.xy = s.xy*fade + w*x*y
+	f.n = f.n*decay + w
+	f.x = f.x*decay + w*x
+	f.xx = f.xx*decay + w*x*x
+	f.y = f.y*decay + w*y
+	f.xy = f.xy*decay + w*x*y
 }
 
-// Known reports whether anything was observed.
-func (s *Slope) Known() bool { return s.n > 0 }
+// HasData reports whether there are any observations.
+func (f *Fit) HasData() bool { return f.n > 0 }
 
-// At returns the line's y at x, never below zero.
-func (s *Slope) At(x float64) float64 {
-	if s.n == 0 {
+// At returns the y of the line at x, at least zero.
+func (f *Fit) At(x float64) float64 {
+	if f.n == 0 {
 		return 0
 	}
-	incline, offset := s.line()
-	return max(offset+incline*x, 0)
+	slope, offset := f.line()
+	return max(offset+slope*x, 0)
 }
 
-// line returns a line that does not fall. With too little spread in x it goes
-// through the origin.
-func (s *Slope) line() (incline, offset float64) {
-	det := s.n*s.xx - s.x*s.x
-	if det < flat*s.n*s.xx {
-		if s.x == 0 {
-			return 0, s.y / s.n
+// line returns the coefficients of a line that does not fall. If x varies too little, the line
+// goes through the origin.
+func (f *Fit) line() (slope, offset float64) {
+	det := f.n*f.xx - f.x*f.x
+	if det < minVarianceShare*f.n*f.xx {
+		if f.x == 0 {
+			return 0, f.y / f.n
 		}
-		return s.y / s.x, 0
+		return f.y / f.x, 0
 	}
-	incline = (s.n*s.xy - s.x*s.y) / det
-	offset = (s.y - incline*s.x) / s.n
+	slope = (f.n*f.xy - f.x*f.y) / det
+	offset = (f.y - slope*f.x) / f.n
 	switch {
-	case incline < 0:
-		return 0, s.y / s.n
+	case slope < 0:
+		return 0, f.y / f.n
 	case offset < 0:
-		return s.xy / s.xx, 0
+		return f.xy / f.xx, 0
 	}
-	return incline, offset
+	return slope, offset
 }
