--- a/core/item/item.go
+++ b/core/item/item.go
@@ -1,4 +1,4 @@
-// Package item describes a ticket as it waits in a queue.
+// Package item describes a ticket that waits in a queue.
 package item
 
 import (
@@ -8,16 +8,16 @@
 	"azurelane/core/wire"
 )
 
-// Item is one waiting ticket with what the queue orders it by.
+// Item is a waiting ticket with the values by which the queue orders it.
 type Item struct {
 	*wire.Ticket
-	Work     float64   // Expected size in work units.
-	Long     bool      // Long against the usual request of the pool.
-	Deadline time.Time // Zero for none.
-	Latest   time.Time // When a dispatch could still be in time; zero for any time.
+	Work           float64   // Expected cost in work units.
+	Long           bool      // Long compared with the usual request of the pool.
+	Deadline       time.Time // Zero for none.
+	LatestDispatch time.Time // Latest dispatch that can still meet the deadline; zero for any time.
 }
 
-// Level is the ticket's tier. Tiers out of range count as the lowest.
+// Level returns the ticket's tier. Tiers out of range count as the lowest.
 func (i *Item) Level() int {
 	if l := int(i.GetTier()); l >= 0 && l < tier.Levels {
 		return l
--- a/core/late/admit.go
+++ b/core/late/admit.go
@@ -21,7 +21,7 @@
 	i := &item.Item{Ticket: t, Work: limit.Cost(t.GetPromptTokens(), t.GetAnswerTokens()), Long: l.usual.add(now, t)}
 	if t.GetDeadlineUs() > 0 {
 		i.Deadline = now.Add(micros(t.GetDeadlineUs()))
-		i.Latest = i.Deadline.Add(-l.fastest(now, i))
+		i.LatestDispatch = i.Deadline.Add(-l.fastest(now, i))
 	}
 	return i
 }
@@ -55,7 +55,7 @@
 	if i.Deadline.IsZero() {
 		return "", 0
 	}
-	if now.After(i.Latest) {
+	if now.After(i.LatestDispatch) {
 		return refuse.Deadline, longestRetry
 	}
 	if l.rate == 0 || l.queue.Lower(i.GetAccount(), i.Level()) {
@@ -70,7 +70,7 @@
 // late is by how much the work ahead of an item makes it late, below zero when
 // it is in time.
 func (l *Late) late(now time.Time, i *item.Item) time.Duration {
-	left := i.Latest.Sub(now)
+	left := i.LatestDispatch.Sub(now)
 	return seconds(l.queue.Ahead(i, left, l.rate)/l.rate) - left
 }
 
--- a/core/late/sweep.go
+++ b/core/late/sweep.go
@@ -80,9 +80,9 @@
 	}
 	var out []*wire.Decision
 	for _, i := range l.queue.Newest() {
-		for n := 0; i != nil && n < reviewMost && !i.Latest.IsZero() && !l.queue.Lower(i.GetAccount(), i.Level()); n++ {
+		for n := 0; i != nil && n < reviewMost && !i.LatestDispatch.IsZero() && !l.queue.Lower(i.GetAccount(), i.Level()); n++ {
 			late := l.late(now, i)
-			if late <= time.Duration(reviewSlack*float64(i.Latest.Sub(now))) {
+			if late <= time.Duration(reviewSlack*float64(i.LatestDispatch.Sub(now))) {
 				break
 			}
 			l.queue.Remove(i.GetIncarnation(), i.GetId())
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -115,7 +115,7 @@
 	n.flow = a.flow(q.class(i), i.Level())
 	heap.Push(&n.flow.items, n)
 	a.top = nil
-	if !i.Latest.IsZero() {
+	if !i.LatestDispatch.IsZero() {
 		heap.Push(&q.latest, n)
 	}
 }
@@ -255,7 +255,7 @@
 		return nil
 	}
 	n := q.latest.nodes[0]
-	if now.Before(n.Latest) {
+	if now.Before(n.LatestDispatch) {
 		return nil
 	}
 	q.remove(n)
