--- a/core/curve/bend_test.go
+++ b/core/curve/curve_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Prompts of all lengths are read, many short and few long ones, and each time
-// scatters by a fifth. The times of the longest are told within a tenth, whether
-// the time grows with the length, with its square, or with both.
-func TestRise(t *testing.T) {
+// Prompts of many lengths, most of them short, are fitted with times that scatter by a fifth. The
+// times of the longest prompts must be estimated within a tenth, whether they grow with the
+// length, with its square, or with both.
+func TestCoefficients(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		a, b, c    float64
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -22,10 +22,10 @@
 	first slope.Fit // Seconds to the first token, by prompt tokens.
 	rest  slope.Fit // Seconds from the first to the last token, by answer tokens.
 	whole plane.Fit // Seconds of answers in one piece, which don't show the two apart.
-	miss  float64     // Mean part by which the expectation was missed.
-	unit  float64     // Least seconds to the first token for each prompt token.
-	wait  float64     // Part of a run that is spent in the upstream's own queue.
-	calm  int         // Runs since most was last lowered.
+	miss  float64   // Mean part by which the expectation was missed.
+	unit  float64   // Least seconds to the first token for each prompt token.
+	wait  float64   // Part of a run that is spent in the upstream's own queue.
+	calm  int       // Runs since most was last lowered.
 
 	good   time.Time     // Last success.
 	fails  int           // Failures in a row.
--- a/core/reqage/before_test.go
+++ b/core/reqage/reqage_test.go
@@ -8,17 +8,17 @@
 	"github.com/shoenig/test/must"
 )
 
-// Callers bring the same time each, or times that differ by a part, or first the
-// one and then the other; some come back seconds later. First attempts must not
-// be taken for late ones, and those that came back not for first ones.
-func TestFirstAndAgain(t *testing.T) {
-	const away = 3 * time.Second
+// Callers have equal times to wait, times that differ, or first the one and then the other; some
+// retry seconds later. First attempts must not be taken for retries, nor retries for first
+// attempts.
+func TestFirstAttemptsAndRetries(t *testing.T) {
+	const retryDelay = 3 * time.Second
 	for _, tc := range []struct {
 		name     string
-		parts    []float64 // By which first waits differ, one after the other.
-		returned float64   // Part of the attempts.
-		firstOK  float64   // Part of first attempts that are told so.
-		off      float64   // Most that the time since the first try may be off, as a part of it.
+		parts    []float64 // Share by which the times of first attempts differ, one after another.
+		returned float64   // Share of retries among the attempts.
+		firstOK  float64   // Least share of first attempts that are recognized.
+		off      float64   // Largest relative error of the time since the first attempt.
 	}{
 		{"all alike", []float64{0}, 0.1, 1, 0},
 		{"all alike, many come back", []float64{0}, 0.3, 1, 0},
@@ -30,36 +30,36 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var b Estimator
 			rnd := rand.New(rand.NewPCG(1, 2))
-			first, told, missed := 0, 0, 0
+			first, recognized, missed := 0, 0, 0
 			for i := range 4000 {
 				part := tc.parts[i*len(tc.parts)/4000]
 				wait := time.Duration((1 - part*rnd.Float64()) * float64(6*time.Second))
-				learnt := i*len(tc.parts)%4000 > 4*keep
+				warm := i*len(tc.parts)%4000 > 4*window
 				if rnd.Float64() < tc.returned {
-					got := b.Observe(wait - away)
-					if learnt && got == 0 {
+					got := b.Observe(wait - retryDelay)
+					if warm && got == 0 {
 						missed++
-					} else if learnt {
-						must.Between(t, (1-tc.off)*away.Seconds(), got.Seconds(), (1+tc.off)*away.Seconds())
+					} else if warm {
+						must.Between(t, (1-tc.off)*retryDelay.Seconds(), got.Seconds(), (1+tc.off)*retryDelay.Seconds())
 					}
 					continue
 				}
 				got := b.Observe(wait)
-				if learnt {
+				if warm {
 					first++
 					if got == 0 {
-						told++
+						recognized++
 					}
 				}
 			}
-			must.GreaterEq(t, tc.firstOK, float64(told)/float64(first))
-			must.LessEq(t, 0.01*float64(first), float64(missed), must.Sprint("taken for first ones"))
+			must.GreaterEq(t, tc.firstOK, float64(recognized)/float64(first))
+			must.LessEq(t, 0.01*float64(first), float64(missed), must.Sprint("retries taken for first attempts"))
 		})
 	}
 }
 
-// The first caller of all can't be told from one that came back.
-func TestNothingKnown(t *testing.T) {
+// The very first caller cannot be distinguished from a retry.
+func TestFirstCaller(t *testing.T) {
 	var b Estimator
 	must.Eq(t, 0, b.Observe(time.Second))
 	must.Eq(t, 0, b.Observe(time.Second))
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -13,11 +13,11 @@
 
 	"github.com/go-logr/logr"
 
-	"azurelane/core/reqage"
 	"azurelane/core/budget"
 	"azurelane/core/meta"
 	"azurelane/core/peers"
 	"azurelane/core/refuse"
+	"azurelane/core/reqage"
 	"azurelane/core/wire"
 	"azurelane/io/stats"
 	"azurelane/io/watch"
--- a/io/gate/place.go
+++ b/io/gate/place.go
@@ -6,10 +6,10 @@
 
 	"github.com/pkg/errors"
 
-	"azurelane/core/reqage"
 	"azurelane/core/budget"
 	"azurelane/core/peers"
 	"azurelane/core/refuse"
+	"azurelane/core/reqage"
 	"azurelane/core/wire"
 	"azurelane/io/grant"
 )
