--- a/core/blame/blame.go
+++ b/core/abuse/blame.go
@@ -1,12 +1,12 @@
 // Package blame finds client accounts whose requests break upstreams, and
 // keeps them from breaking more.
-package blame
+package abuse
 
 import "time"
 
 type (
-	// Blame counts failures by client account. The zero value is empty and ready.
-	Blame struct {
+	// Detector counts failures by client account. The zero value is empty and ready.
+	Detector struct {
 		accounts map[string]*record
 	}
 
@@ -25,9 +25,9 @@
 	longestPause = 5 * time.Minute
 )
 
-// Fail counts a failure of an account's run on an upstream that works for
+// RecordFailure counts a failure of an account's run on an upstream that works for
 // others. Three in a row, not all on one upstream, confine the account.
-func (b *Blame) Fail(now time.Time, account, upstream string) {
+func (b *Detector) RecordFailure(now time.Time, account, upstream string) {
 	if b.accounts == nil {
 		b.accounts = map[string]*record{}
 	}
@@ -45,13 +45,13 @@
 	}
 }
 
-// Done counts a success, which clears the account.
-func (b *Blame) Done(account string) { delete(b.accounts, account) }
+// RecordSuccess counts a success, which clears the account.
+func (b *Detector) RecordSuccess(account string) { delete(b.accounts, account) }
 
 // Confined returns the one upstream that the account may use, for one request
 // at a time, while it is under suspicion. So what its requests break is broken
 // at one place and not all over the pool.
-func (b *Blame) Confined(now time.Time, account string) (upstream string, ok bool) {
+func (b *Detector) Confined(now time.Time, account string) (upstream string, ok bool) {
 	r := b.accounts[account]
 	if r == nil || !now.Before(r.until) {
 		return "", false
--- a/core/least/least.go
+++ b/core/least/least.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"azurelane/core/kernel"
-	"azurelane/core/local"
+	"azurelane/core/direct"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
 )
@@ -19,14 +19,14 @@
 
 // Least is the policy's state for one pool.
 type Least struct {
-	local.Local
+	direct.Base
 	next int
 }
 
 // Submit grants the live upstream with the least reported load for its size.
 // Equal ones take turns.
 func (l *Least) Submit(now time.Time, t *wire.Ticket) []*wire.Decision {
-	return l.Choose(now, t, func(live []*upstr.Upstream) *upstr.Upstream {
+	return l.Grant(now, t, func(live []*upstr.Upstream) *upstr.Upstream {
 		l.next++
 		best := live[l.next%len(live)]
 		for i := range live {
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -12,21 +12,21 @@
 	"azurelane/core/wire"
 )
 
-// Place holds the weights of one preset. The zero value prefers no cache.
-type Place struct {
-	// Detour is the part by which the expected finish at a prefix's home may be
+// Picker holds the weights of one preset. The zero value prefers no cache.
+type Picker struct {
+	// MaxDetour is the part by which the expected finish at a prefix's home may be
 	// later than at the best upstream. It bounds what a wrong guess about a
 	// cache costs.
-	Detour float64
-	// Margin scales the distance that the expected finish keeps from a
+	MaxDetour float64
+	// DeadlineMargin scales the distance that the expected finish keeps from a
 	// deadline, in mean misses of the expectation. A larger one refuses more
 	// and wastes fewer prompts on answers that come too late.
-	Margin float64
-	// Usual is the time of a usual run, taken for upstreams that are unknown.
-	Usual time.Duration
-	// Alone says that no upstream of the pool is in full service, so that an
+	DeadlineMargin float64
+	// TypicalRun is the time of a usual run, taken for upstreams that are unknown.
+	TypicalRun time.Duration
+	// AllOnTrial says that no upstream of the pool is in full service, so that an
 	// alert may go to one that is being tried.
-	Alone bool
+	AllOnTrial bool
 }
 
 const (
@@ -41,8 +41,8 @@
 	batchCost = 0.5
 )
 
-// Open returns the upstreams with room for one more request.
-func Open(now time.Time, all, into []*upstr.Upstream) []*upstr.Upstream {
+// Available returns the upstreams with room for one more request.
+func Available(now time.Time, all, into []*upstr.Upstream) []*upstr.Upstream {
 	into = into[:0]
 	for _, u := range all {
 		if u.Room(now) {
@@ -57,7 +57,7 @@
 // item like it, and nil without full when only this item can't go there. Short
 // says that short work is about; only, unless empty, names the one upstream
 // allowed.
-func (p Place) Pick(now time.Time, open []*upstr.Upstream, i *item.Item, short bool, only string) (s *slot.Slot, full bool) {
+func (p Picker) Pick(now time.Time, open []*upstr.Upstream, i *item.Item, short bool, only string) (s *slot.Slot, full bool) {
 	var best, near choice
 	var fill float64
 	full = true
@@ -115,35 +115,35 @@
 	return c.weight > d.weight
 }
 
-func (p Place) weigh(now time.Time, u *upstr.Upstream, i *item.Item) choice {
+func (p Picker) weigh(now time.Time, u *upstr.Upstream, i *item.Item) choice {
 	c := choice{up: u, weight: u.Weight(i.GetPrefixHash())}
 	c.cached = i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash())
-	c.expect = u.Learnt.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
+	c.expect = u.Learnt.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
 	run := c.expect
 	if !u.Learnt.Known() {
-		run = p.Usual
+		run = p.TypicalRun
 	}
 	c.at = run + time.Duration(float64(run)*batchCost*filled(now, u))
 	if i.Deadline.IsZero() || !u.Learnt.Known() {
 		return c
 	}
-	c.late = now.Add(p.Safe(u, i.Ticket)).After(i.Deadline)
+	c.late = now.Add(p.SafeRunTime(u, i.Ticket)).After(i.Deadline)
 	return c
 }
 
-// Safe is the time that the ticket's run surely takes on the upstream, for the
+// SafeRunTime is the time that the ticket's run surely takes on the upstream, for the
 // judgement of deadlines: without the belief in a cache, which may be wrong,
 // and with the preset's margin. It is zero while nothing is known.
-func (p Place) Safe(u *upstr.Upstream, t *wire.Ticket) time.Duration {
-	run := u.Learnt.Expect(t.GetPromptTokens(), t.GetAnswerTokens(), false)
-	return time.Duration(float64(run) * (1 + p.Margin*u.Learnt.Miss()))
+func (p Picker) SafeRunTime(u *upstr.Upstream, t *wire.Ticket) time.Duration {
+	run := u.Learnt.RunTime(t.GetPromptTokens(), t.GetAnswerTokens(), false)
+	return time.Duration(float64(run) * (1 + p.DeadlineMargin*u.Learnt.MeanError()))
 }
 
 // worthwhile bounds what the cache may cost: near must not be much later than
 // best, nor much fuller than the mean.
-func (p Place) worthwhile(now time.Time, i *item.Item, near, best choice, mean float64) bool {
+func (p Picker) worthwhile(now time.Time, i *item.Item, near, best choice, mean float64) bool {
 	return i.GetPrefixHash() != 0 && i.GetPromptTokens() >= shortPrompt &&
-		near.at <= best.at+time.Duration(p.Detour*float64(best.at)) &&
+		near.at <= best.at+time.Duration(p.MaxDetour*float64(best.at)) &&
 		filled(now, near.up) <= bound*mean+1/float64(max(near.up.Most(now), 1))
 }
 
@@ -162,7 +162,7 @@
 }
 
 // takes reports whether the upstream may run this very item.
-func (p Place) takes(u *upstr.Upstream, i *item.Item, only string) bool {
+func (p Picker) takes(u *upstr.Upstream, i *item.Item, only string) bool {
 	if (only != "" && u.GetUpstream() != only) || !u.Serves(i.Ticket) {
 		return false
 	}
@@ -170,7 +170,7 @@
 		return false
 	}
 	// An upstream that comes back isn't tried with an alert while there is another.
-	return !u.Learnt.Trial() || i.Level() > 0 || p.Alone
+	return !u.Learnt.OnTrial() || i.Level() > 0 || p.AllOnTrial
 }
 
 func filled(now time.Time, u *upstr.Upstream) float64 {
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -36,7 +36,7 @@
 		prompt, answer := 50+n*40, 10+n%7*30
 		first := time.Duration(slow * 100 * float64(prompt) * float64(time.Microsecond))
 		total := first + time.Duration(slow*float64(answer)*float64(time.Millisecond))
-		u.Learnt.Done(start, prompt, answer, false, first, total, 1, int(running))
+		u.Learnt.RecordSuccess(start, prompt, answer, false, first, total, 1, int(running))
 	}
 	return u
 }
@@ -51,14 +51,14 @@
 	return &item.Item{Ticket: &wire.Ticket{PromptTokens: 1000, AnswerTokens: 50, PrefixHash: prefix, Tier: wire.Tier_TIER_NORMAL}}
 }
 
-func preset(t must.T, name string) place.Place {
+func preset(t must.T, name string) place.Picker {
 	p, err := place.Preset(name)
 	must.NoError(t, err)
 	return p
 }
 
 // pick returns the slot for an item that may go anywhere, or nil.
-func pick(p place.Place, now time.Time, ups []*upstr.Upstream, i *item.Item) *slot.Slot {
+func pick(p place.Picker, now time.Time, ups []*upstr.Upstream, i *item.Item) *slot.Slot {
 	s, _ := p.Pick(now, ups, i, false, "")
 	return s
 }
@@ -132,15 +132,15 @@
 			u.Long = rapid.IntRange(0, u.Running).Draw(t, "longs")
 			hear(u, rapid.SliceOfN(rapid.Uint64Range(1, 3), 0, 3).Draw(t, "cached")...)
 		}
-		open := place.Open(start, speeds, nil)
+		open := place.Available(start, speeds, nil)
 		ok := func(u *upstr.Upstream) bool {
 			avoided := len(i.GetAvoid()) > 0 && u.GetUpstream() == "up-0"
 			reserved := i.Long && short && u.Long >= 3
 			return u.Running < 4 && !avoided && !reserved &&
-				(i.Deadline.IsZero() || !start.Add(p.Safe(u, i.Ticket)).After(i.Deadline))
+				(i.Deadline.IsZero() || !start.Add(p.SafeRunTime(u, i.Ticket)).After(i.Deadline))
 		}
 		at := func(u *upstr.Upstream) float64 {
-			run := u.Learnt.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
+			run := u.Learnt.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
 			return run.Seconds() * (1 + 0.5*float64(u.Running)/4)
 		}
 		s, _ := p.Pick(start, open, i, short, "")
@@ -150,7 +150,7 @@
 		for _, u := range speeds {
 			if ok(u) {
 				must.NotNil(t, s)
-				must.LessEq(t, at(u)*(1+p.Detour)+1e-6, at(s.Up))
+				must.LessEq(t, at(u)*(1+p.MaxDetour)+1e-6, at(s.Up))
 			}
 		}
 	})
@@ -160,12 +160,12 @@
 func TestTrial(t *testing.T) {
 	p := preset(t, place.Goodput)
 	ups := []*upstr.Upstream{newUp(0, 1, 4)}
-	ups[0].Learnt.Out(start)
+	ups[0].Learnt.StartOutage(start)
 	now := start.Add(2 * time.Second)
 	alert := request(0)
 	alert.Tier = wire.Tier_TIER_URGENT
 	must.Nil(t, pick(p, now, ups, alert))
 	must.NotNil(t, pick(p, now, ups, request(0)))
-	p.Alone = true
+	p.AllOnTrial = true
 	must.NotNil(t, pick(p, now, ups, alert))
 }
--- a/core/place/preset.go
+++ b/core/place/preset.go
@@ -3,11 +3,11 @@
 import "fmt"
 
 // presets are the registered weights.
-var presets = map[string]Place{}
+var presets = map[string]Picker{}
 
 // Register adds a preset. It panics on a second one of the same name, which
 // can only be a mistake in the program.
-func Register(name string, p Place) {
+func Register(name string, p Picker) {
 	if _, ok := presets[name]; ok {
 		panic("place: preset registered twice: " + name)
 	}
@@ -15,10 +15,10 @@
 }
 
 // Preset returns the weights registered under name.
-func Preset(name string) (Place, error) {
+func Preset(name string) (Picker, error) {
 	p, ok := presets[name]
 	if !ok {
-		return Place{}, fmt.Errorf("place: no preset %q", name)
+		return Picker{}, fmt.Errorf("place: no preset %q", name)
 	}
 	return p, nil
 }
@@ -30,6 +30,6 @@
 )
 
 func init() {
-	Register(Goodput, Place{Detour: 0.1, Margin: 1})
-	Register(Prefill, Place{Detour: 0.5, Margin: 3})
+	Register(Goodput, Picker{MaxDetour: 0.1, DeadlineMargin: 1})
+	Register(Prefill, Picker{MaxDetour: 0.5, DeadlineMargin: 3})
 }
--- a/core/late/drain.go
+++ b/core/pull/drain.go
@@ -1,4 +1,4 @@
-package late
+package pull
 
 import "time"
 
@@ -18,13 +18,13 @@
 )
 
 // turn closes one span of the measurements of what comes in and what is granted.
-func (l *Late) turn(now time.Time) {
+func (l *Policy) turn(now time.Time) {
 	d := &l.drain
 	span := now.Sub(d.turned)
 	first := d.turned.IsZero()
 	d.turned = now
 	if !first && span > 0 {
-		l.queue.Turn(span, turnGain)
+		l.queue.UpdateRates(span, turnGain)
 		if d.waited >= drainTurns {
 			d.rate += turnGain * (d.granted/span.Seconds() - d.rate)
 		}
--- a/core/late/late.go
+++ b/core/pull/late.go
@@ -1,13 +1,13 @@
 // Package late is the scheduling policy that binds a ticket to an upstream as
 // late as it can: tickets wait in one queue at the pool's owner, and only a
 // free slot takes the first of them.
-package late
+package pull
 
 import (
 	"slices"
 	"time"
 
-	"azurelane/core/blame"
+	"azurelane/core/abuse"
 	"azurelane/core/conf"
 	"azurelane/core/item"
 	"azurelane/core/kernel"
@@ -25,17 +25,17 @@
 // Name is the policy's name in the configuration.
 const Name = "late"
 
-func init() { kernel.Register(Name, false, func() kernel.Scheduler { return &Late{} }) }
+func init() { kernel.Register(Name, false, func() kernel.Scheduler { return &Policy{} }) }
 
-// Late is the policy's state for one pool.
-type Late struct {
+// Policy is the policy's state for one pool.
+type Policy struct {
 	name  string
 	pool  pool.Pool
 	table table.Table
 	slots slots.Slots
 	queue queue.Queue
-	place place.Place
-	blame blame.Blame
+	place place.Picker
+	blame abuse.Detector
 	usual usual
 	drain drain
 
@@ -70,7 +70,7 @@
 )
 
 // Configure installs the pool's limits and weights.
-func (l *Late) Configure(now time.Time, name string, cfg *conf.Config) []*wire.Decision {
+func (l *Policy) Configure(now time.Time, name string, cfg *conf.Config) []*wire.Decision {
 	l.name = name
 	l.pool = cfg.Pools[name].WithDefaults()
 	if p, err := place.Preset(l.pool.Preset); err == nil {
@@ -88,7 +88,7 @@
 }
 
 // owns notes that this entry is asked as the pool's owner.
-func (l *Late) owns(now time.Time) {
+func (l *Policy) owns(now time.Time) {
 	if now.Sub(l.asked) > ownerIdle {
 		l.started = now
 	}
@@ -96,7 +96,7 @@
 }
 
 // Announce takes an upstream's lease and grants what now fits.
-func (l *Late) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
+func (l *Policy) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
 	l.owns(now)
 	l.table.Put(now, a)
 	l.stale = true
@@ -106,7 +106,7 @@
 // Submit queues a ticket, grants it, or refuses it at once. A ticket sent
 // again replaces its former self: the link broke before the decision arrived,
 // so a waiting one would be granted twice and a granted one never dispatched.
-func (l *Late) Submit(now time.Time, t *wire.Ticket) []*wire.Decision {
+func (l *Policy) Submit(now time.Time, t *wire.Ticket) []*wire.Decision {
 	l.owns(now)
 	l.queue.Remove(t.GetIncarnation(), t.GetId())
 	l.cancel(now, t.GetIncarnation(), t.GetId())
@@ -117,13 +117,13 @@
 	if code, after := l.hopeless(now, i); code != "" {
 		return []*wire.Decision{refuse.Ticket(t, code, after)}
 	}
-	l.queue.Arrived(i)
+	l.queue.RecordArrival(i)
 	l.queue.Push(i)
 	out := l.assign(now)
-	for v := l.queue.OverAccount(t.GetAccount()); v != nil; v = l.queue.OverAccount(t.GetAccount()) {
+	for v := l.queue.ShedOverAccountLimit(t.GetAccount()); v != nil; v = l.queue.ShedOverAccountLimit(t.GetAccount()) {
 		out = append(out, refuse.Ticket(v.Ticket, refuse.AccountLimit, l.later(v)))
 	}
-	for v := l.queue.OverPool(); v != nil; v = l.queue.OverPool() {
+	for v := l.queue.ShedOverPoolLimit(); v != nil; v = l.queue.ShedOverPoolLimit() {
 		out = append(out, refuse.Ticket(v.Ticket, refuse.Overloaded, l.later(v)))
 	}
 	return out
@@ -131,22 +131,22 @@
 
 // Withdraw drops a waiting ticket, or frees the slot that it was granted in
 // the same moment: the entry that withdraws has given up and won't dispatch.
-func (l *Late) Withdraw(now time.Time, w *wire.Withdraw) {
+func (l *Policy) Withdraw(now time.Time, w *wire.Withdraw) {
 	l.queue.Remove(w.GetIncarnation(), w.GetTicket())
 	l.cancel(now, w.GetIncarnation(), w.GetTicket())
 }
 
 // cancel frees a slot whose ticket won't be dispatched under it.
-func (l *Late) cancel(now time.Time, incarnation string, ticket uint64) {
+func (l *Policy) cancel(now time.Time, incarnation string, ticket uint64) {
 	if s := l.slots.Cancel(now, incarnation, ticket); s != nil {
 		l.stale = true
-		l.queue.Correct(s.Ticket.GetAccount(), -s.Work)
+		l.queue.AdjustCharge(s.Ticket.GetAccount(), -s.Work)
 	}
 }
 
 // Hold takes an entry's list of the slots that it holds, sent when this owner
 // takes over and again every few seconds. See slots.Hold.
-func (l *Late) Hold(now time.Time, h *wire.Held) {
+func (l *Policy) Hold(now time.Time, h *wire.Held) {
 	l.owns(now)
 	var list []*wire.HeldSlot
 	for _, s := range h.GetSlots() {
@@ -159,17 +159,17 @@
 }
 
 // Forget drops a dead entry's tickets and slots.
-func (l *Late) Forget(now time.Time, incarnation string) []*wire.Decision {
+func (l *Policy) Forget(now time.Time, incarnation string) []*wire.Decision {
 	l.slots.Forget(incarnation)
 	l.stale = true
-	l.queue.Drop(func(i *item.Item) bool { return i.GetIncarnation() == incarnation })
+	l.queue.RemoveFunc(func(i *item.Item) bool { return i.GetIncarnation() == incarnation })
 	return l.assign(now)
 }
 
 // Tick refuses what can't be done in time any more and grants what now fits.
-func (l *Late) Tick(now time.Time) []*wire.Decision {
+func (l *Policy) Tick(now time.Time) []*wire.Decision {
 	var out []*wire.Decision
-	for i := l.queue.Expired(now); i != nil; i = l.queue.Expired(now) {
+	for i := l.queue.PopExpired(now); i != nil; i = l.queue.PopExpired(now) {
 		out = append(out, refuse.Ticket(i.Ticket, refuse.Deadline, l.later(i)))
 	}
 	if now.Sub(l.swept) >= sweepEvery {
@@ -179,12 +179,12 @@
 }
 
 // assign grants free slots to the tickets that are next.
-func (l *Late) assign(now time.Time) []*wire.Decision {
+func (l *Policy) assign(now time.Time) []*wire.Decision {
 	if l.queue.Len() == 0 {
 		return nil
 	}
 	var out []*wire.Decision
-	l.queue.Round()
+	l.queue.StartRound()
 	l.refresh(now)
 	for len(l.open) > 0 {
 		var granted *wire.Decision
@@ -203,17 +203,17 @@
 
 // refresh leaves just the upstreams with room in open. A release adds its own
 // upstream, so that the many grants that follow a release look at no other one.
-func (l *Late) refresh(now time.Time) {
+func (l *Policy) refresh(now time.Time) {
 	all := l.open
 	if l.stale {
 		all, l.stale = l.table.All(), false
 	}
-	l.open = place.Open(now, all, l.open)
+	l.open = place.Available(now, all, l.open)
 }
 
 // grant places one ticket. It returns nil and whether all tickets like it
 // would find no place.
-func (l *Late) grant(now time.Time, i *item.Item) (*wire.Decision, bool) {
+func (l *Policy) grant(now time.Time, i *item.Item) (*wire.Decision, bool) {
 	only, confined := l.blame.Confined(now, i.GetAccount())
 	if confined && l.slots.Account(i.GetAccount()) > 0 {
 		return nil, false
--- a/core/late/learn.go
+++ b/core/pull/learn.go
@@ -1,4 +1,4 @@
-package late
+package pull
 
 import (
 	"slices"
@@ -22,7 +22,7 @@
 // Release frees a slot, learns from the run and grants what now fits. What is
 // no slot of this owner any more teaches nothing, as its run was counted or
 // given up before.
-func (l *Late) Release(now time.Time, r *wire.Release) []*wire.Decision {
+func (l *Policy) Release(now time.Time, r *wire.Release) []*wire.Decision {
 	s := l.slots.Free(now, r)
 	if s == nil {
 		return nil
@@ -34,13 +34,13 @@
 	return l.assign(now)
 }
 
-func (l *Late) learn(now time.Time, s *slot.Slot, r *wire.Release) {
+func (l *Policy) learn(now time.Time, s *slot.Slot, r *wire.Release) {
 	t, u := s.Ticket, s.Up
 	switch {
 	case !r.GetDispatched():
-		l.queue.Correct(t.GetAccount(), -s.Work)
+		l.queue.AdjustCharge(t.GetAccount(), -s.Work)
 		if r.GetFailed() {
-			u.Learnt.Fail(now, "")
+			u.Learnt.RecordFailure(now, "")
 		}
 		return
 	case r.GetFailed():
@@ -55,51 +55,51 @@
 		answer = n
 	}
 	if s.Work > 0 {
-		l.queue.Correct(t.GetAccount(), limit.Cost(prompt, answer)-s.Work)
+		l.queue.AdjustCharge(t.GetAccount(), limit.Cost(prompt, answer)-s.Work)
 	}
-	l.blame.Done(t.GetAccount())
+	l.blame.RecordSuccess(t.GetAccount())
 	first, total := micros(r.GetFirstTokenUs()), micros(r.GetTotalUs())
 	if s.Cached && l.uncached(s, prompt, first) {
 		u.Cache.Wrong(t.GetPrefixHash())
 		s.Cached = false
 	}
-	u.Learnt.Done(now, prompt, answer, s.Cached, first, total, u.Running+1, u.Limit())
+	u.Learnt.RecordSuccess(now, prompt, answer, s.Cached, first, total, u.Running+1, u.Limit())
 }
 
 // failed blames the account or the upstream. An account whose requests fail
 // where the others' succeed is confined; its failures then say nothing of the
 // upstream.
-func (l *Late) failed(now time.Time, s *slot.Slot, r *wire.Release) {
+func (l *Policy) failed(now time.Time, s *slot.Slot, r *wire.Release) {
 	account := s.Ticket.GetAccount()
 	if d := s.Ticket.GetDeadlineUs(); d > 0 && micros(r.GetTotalUs()) >= micros(d)*9/10 {
 		return // Given up at its own deadline. Whether the upstream hangs, overdue tells.
 	}
 	if _, confined := l.blame.Confined(now, account); confined {
-		l.blame.Fail(now, account, s.Up.GetUpstream())
+		l.blame.RecordFailure(now, account, s.Up.GetUpstream())
 		return
 	}
-	s.Up.Learnt.Fail(now, account)
-	if s.Up.Learnt.Blameless(now) {
-		l.blame.Fail(now, account, s.Up.GetUpstream())
+	s.Up.Learnt.RecordFailure(now, account)
+	if s.Up.Learnt.AccountAtFault(now) {
+		l.blame.RecordFailure(now, account, s.Up.GetUpstream())
 	}
 }
 
 // uncached reports whether a run shows that the prefix was not cached.
-func (l *Late) uncached(s *slot.Slot, prompt int64, first time.Duration) bool {
-	full := s.Up.Learnt.Expect(prompt, 0, false) - s.Up.Learnt.Expect(0, 0, false)
-	saved := full - (s.Up.Learnt.Expect(prompt, 0, true) - s.Up.Learnt.Expect(0, 0, true))
-	return first > 0 && saved > 0 && first > s.Up.Learnt.Expect(0, 0, true)+time.Duration(wrongCache*float64(full))
+func (l *Policy) uncached(s *slot.Slot, prompt int64, first time.Duration) bool {
+	full := s.Up.Learnt.RunTime(prompt, 0, false) - s.Up.Learnt.RunTime(0, 0, false)
+	saved := full - (s.Up.Learnt.RunTime(prompt, 0, true) - s.Up.Learnt.RunTime(0, 0, true))
+	return first > 0 && saved > 0 && first > s.Up.Learnt.RunTime(0, 0, true)+time.Duration(wrongCache*float64(full))
 }
 
 // overdue takes an upstream out of service that holds a run for much longer
 // than expected and has finished nothing else meanwhile. A frozen engine keeps
 // its connections open and may go on announcing itself, so neither a failed run
 // nor a lost lease would tell before the callers' deadlines.
-func (l *Late) overdue(now time.Time) func(*slot.Slot) {
+func (l *Policy) overdue(now time.Time) func(*slot.Slot) {
 	return func(s *slot.Slot) {
 		limit := overdueFactor*s.Expect + overdueGrace
-		if s.Expect > 0 && now.Sub(s.Since) > limit && now.Sub(s.Up.Learnt.Good()) > limit {
-			s.Up.Learnt.Out(now)
+		if s.Expect > 0 && now.Sub(s.Since) > limit && now.Sub(s.Up.Learnt.LastSuccess()) > limit {
+			s.Up.Learnt.StartOutage(now)
 		}
 	}
 }
--- a/core/late/sweep.go
+++ b/core/pull/sweep.go
@@ -1,4 +1,4 @@
-package late
+package pull
 
 import (
 	"time"
@@ -16,7 +16,7 @@
 )
 
 // sweep looks at all slots and upstreams, which is too much for each call.
-func (l *Late) sweep(now time.Time) []*wire.Decision {
+func (l *Policy) sweep(now time.Time) []*wire.Decision {
 	l.swept, l.stale = now, true
 	l.table.Expire(now, forgetAfter)
 	l.slots.Sweep(now, l.pool.MaxRun+runGrace, l.overdue(now))
@@ -35,9 +35,9 @@
 
 // measure sums up the live upstreams: how many there are, how fast they are
 // together, and which one is the fastest for a usual run.
-func (l *Late) measure(now time.Time) {
+func (l *Policy) measure(now time.Time) {
 	l.live, l.rate, l.quick = 0, 0, nil
-	l.place.Alone, l.place.Usual = true, 0
+	l.place.AllOnTrial, l.place.TypicalRun = true, 0
 	var quickest time.Duration
 	prompt, answer := int64(l.usual.prompt), int64(l.usual.answer)
 	for _, u := range l.table.All() {
@@ -45,13 +45,13 @@
 			continue
 		}
 		l.live++
-		l.place.Alone = l.place.Alone && u.Learnt.Trial()
-		e := u.Learnt.Expect(prompt, answer, false)
+		l.place.AllOnTrial = l.place.AllOnTrial && u.Learnt.OnTrial()
+		e := u.Learnt.RunTime(prompt, answer, false)
 		if e <= 0 {
 			continue
 		}
 		l.rate += float64(u.Most(now)) * limit.Cost(prompt, answer) / e.Seconds()
-		l.place.Usual = max(l.place.Usual, e)
+		l.place.TypicalRun = max(l.place.TypicalRun, e)
 		if l.quick == nil || e < quickest {
 			l.quick, quickest = u, e
 		}
@@ -62,9 +62,9 @@
 
 // unserved refuses what no live upstream serves any more, now and not at its
 // deadline.
-func (l *Late) unserved(now time.Time) []*wire.Decision {
+func (l *Policy) unserved(now time.Time) []*wire.Decision {
 	var out []*wire.Decision
-	for _, i := range l.queue.Drop(func(i *item.Item) bool { return !l.served(now, i.Ticket) }) {
+	for _, i := range l.queue.RemoveFunc(func(i *item.Item) bool { return !l.served(now, i.Ticket) }) {
 		out = append(out, refuse.Ticket(i.Ticket, refuse.NoUpstream, startGrace))
 	}
 	return out
@@ -74,13 +74,13 @@
 // newest first. They were accepted before more urgent work came, or before an
 // upstream became slow, and their callers should not learn of it at the last
 // moment. It is slower to say no than hopeless, as what passes soon is no reason.
-func (l *Late) review(now time.Time) []*wire.Decision {
+func (l *Policy) review(now time.Time) []*wire.Decision {
 	if l.rate == 0 {
 		return nil
 	}
 	var out []*wire.Decision
 	for _, i := range l.queue.Newest() {
-		for n := 0; i != nil && n < reviewMost && !i.LatestDispatch.IsZero() && !l.queue.Lower(i.GetAccount(), i.Level()); n++ {
+		for n := 0; i != nil && n < reviewMost && !i.LatestDispatch.IsZero() && !l.queue.HasLower(i.GetAccount(), i.Level()); n++ {
 			late := l.late(now, i)
 			if late <= time.Duration(reviewSlack*float64(i.LatestDispatch.Sub(now))) {
 				break
--- a/core/queue/ahead.go
+++ b/core/queue/ahead.go
@@ -6,16 +6,16 @@
 	"azurelane/core/item"
 )
 
-// Arrived counts a ticket's work among what its account asks for. It must be
+// RecordArrival counts a ticket's work among what its account asks for. It must be
 // called before Push.
-func (q *Queue) Arrived(i *item.Item) {
+func (q *Queue) RecordArrival(i *item.Item) {
 	a := q.of(i.GetAccount())
 	a.asked[i.Level()] += i.Work
 }
 
-// Turn closes a span of time in which Arrived counted, and adds it to the
+// UpdateRates closes a span of time in which Arrived counted, and adds it to the
 // running rates by the given gain.
-func (q *Queue) Turn(span time.Duration, gain float64) {
+func (q *Queue) UpdateRates(span time.Duration, gain float64) {
 	for _, a := range q.all {
 		for l := range a.asked {
 			a.arrives[l] += gain * (a.asked[l]/span.Seconds() - a.arrives[l])
@@ -24,12 +24,12 @@
 	}
 }
 
-// Ahead is the work in units that the pool does before the ticket, if the
+// WorkAhead is the work in units that the pool does before the ticket, if the
 // ticket is to wait for the given time at most and the pool does rate units a
 // second: what waits before it and, as rates of late go, what will come before
 // it. Of another account counts no more than that account's share of the time,
 // as work beyond the share stands behind this ticket.
-func (q *Queue) Ahead(i *item.Item, within time.Duration, rate float64) float64 {
+func (q *Queue) WorkAhead(i *item.Item, within time.Duration, rate float64) float64 {
 	own := q.of(i.GetAccount())
 	level, span := i.Level(), max(within.Seconds(), 0)
 	weights := q.weights
--- a/core/queue/next.go
+++ b/core/queue/next.go
@@ -5,9 +5,9 @@
 	"azurelane/core/tier"
 )
 
-// Round begins a new round of grants: what found no place in the last one is
+// StartRound begins a new round of grants: what found no place in the last one is
 // tried again.
-func (q *Queue) Round() { q.round++ }
+func (q *Queue) StartRound() { q.round++ }
 
 // depth is how many tickets of one flow are offered in a round.
 const depth = 8
@@ -163,9 +163,9 @@
 	}
 }
 
-// Correct adds to what an account was charged: the work that came back less
+// AdjustCharge adds to what an account was charged: the work that came back less
 // the work that was estimated.
-func (q *Queue) Correct(name string, work float64) {
+func (q *Queue) AdjustCharge(name string, work float64) {
 	if a := q.accounts[name]; a != nil {
 		a.used += work / q.account(name).Weight
 	}
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -248,9 +248,9 @@
 	}
 }
 
-// Expired takes out one ticket that can't be dispatched in time any more, or
+// PopExpired takes out one ticket that can't be dispatched in time any more, or
 // returns nil.
-func (q *Queue) Expired(now time.Time) *item.Item {
+func (q *Queue) PopExpired(now time.Time) *item.Item {
 	if q.latest.Len() == 0 {
 		return nil
 	}
@@ -262,9 +262,9 @@
 	return n.Item
 }
 
-// Drop takes out all tickets for which gone returns true, oldest first. It
+// RemoveFunc takes out all tickets for which gone returns true, oldest first. It
 // looks at every ticket, so it is for rare events.
-func (q *Queue) Drop(gone func(*item.Item) bool) []*item.Item {
+func (q *Queue) RemoveFunc(gone func(*item.Item) bool) []*item.Item {
 	var list []*node
 	for _, n := range q.tickets {
 		if gone(n.Item) {
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -219,15 +219,15 @@
 			if v.count(i.GetAccount(), -1) > accountLimit {
 				want = v.shed(i.GetAccount())
 			}
-			must.Eq(t, id(want), id(q.OverAccount(i.GetAccount())))
+			must.Eq(t, id(want), id(q.ShedOverAccountLimit(i.GetAccount())))
 			want = nil
 			if len(v.list) > poolLimit {
 				want = v.shed(v.heaviest())
 			}
-			must.Eq(t, id(want), id(q.OverPool()))
+			must.Eq(t, id(want), id(q.ShedOverPoolLimit()))
 		}
 		next := func(t *rapid.T, longToo bool) {
-			q.Round()
+			q.StartRound()
 			ok := func(i *item.Item) bool { return longToo || !i.Long || i.Level() == 0 }
 			got := q.Next(func(i *item.Item) (bool, bool) { return ok(i), !ok(i) })
 			must.Eq(t, id(v.next(ok)), id(got))
@@ -252,11 +252,11 @@
 				if _, seen := v.used[name]; seen {
 					v.used[name] += by / weight(name)
 				}
-				q.Correct(name, by)
+				q.AdjustCharge(name, by)
 			},
 			"expire": func(t *rapid.T) {
 				now := epoch.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "s")) * time.Second)
-				for got := q.Expired(now); got != nil; got = q.Expired(now) {
+				for got := q.PopExpired(now); got != nil; got = q.PopExpired(now) {
 					must.False(t, now.Before(got.LatestDispatch))
 					must.True(t, slices.Contains(v.list, got))
 					v.take(got)
@@ -289,7 +289,7 @@
 	}
 	byAccount, byTier := map[string]float64{}, [3]float64{}
 	for range grants {
-		q.Round()
+		q.StartRound()
 		i := q.Next(func(*item.Item) (bool, bool) { return true, false })
 		byAccount[i.GetAccount()] += i.Work
 		byTier[i.Level()] += i.Work
@@ -345,7 +345,7 @@
 			i := drawItem(t, id+1)
 			q.Push(i)
 			kept[i.GetId()] = i
-			for _, shed := range []*item.Item{q.OverAccount(i.GetAccount()), q.OverPool()} {
+			for _, shed := range []*item.Item{q.ShedOverAccountLimit(i.GetAccount()), q.ShedOverPoolLimit()} {
 				if shed == nil {
 					continue
 				}
--- a/core/queue/shed.go
+++ b/core/queue/shed.go
@@ -7,10 +7,10 @@
 	"azurelane/core/tier"
 )
 
-// OverAccount takes out the ticket that goes when the account has more waiting
+// ShedOverAccountLimit takes out the ticket that goes when the account has more waiting
 // than it may, or returns nil: the newest one of its lowest tier. So an alert
 // is never shed while lower work of its account is kept waiting.
-func (q *Queue) OverAccount(name string) *item.Item {
+func (q *Queue) ShedOverAccountLimit(name string) *item.Item {
 	a := q.accounts[name]
 	if a == nil || a.n <= q.account(name).MaxWaiting {
 		return nil
@@ -18,11 +18,11 @@
 	return q.shed(a)
 }
 
-// OverPool takes out the ticket that goes when the pool has more waiting than
+// ShedOverPoolLimit takes out the ticket that goes when the pool has more waiting than
 // it may, or returns nil. It is taken from the account that waits with the
 // most tickets for its weight, not from the one that came last, so that a
 // flood of one account sheds that account's own work.
-func (q *Queue) OverPool() *item.Item {
+func (q *Queue) ShedOverPoolLimit() *item.Item {
 	if q.MaxWaiting == 0 || len(q.tickets) <= q.MaxWaiting {
 		return nil
 	}
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// Lower reports whether the account has waiting work of a lower tier.
-func (q *Queue) Lower(name string, level int) bool {
+// HasLower reports whether the account has waiting work of a lower tier.
+func (q *Queue) HasLower(name string, level int) bool {
 	a := q.accounts[name]
 	return a != nil && slices.ContainsFunc(a.waiting[level+1:], func(n int) bool { return n > 0 })
 }
--- a/core/robin/robin.go
+++ b/core/robin/robin.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"azurelane/core/kernel"
-	"azurelane/core/local"
+	"azurelane/core/direct"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
 )
@@ -18,13 +18,13 @@
 
 // Robin is the policy's state for one pool.
 type Robin struct {
-	local.Local
+	direct.Base
 	next int
 }
 
 // Submit grants the next live upstream, however much it has to do.
 func (r *Robin) Submit(now time.Time, t *wire.Ticket) []*wire.Decision {
-	return r.Choose(now, t, func(live []*upstr.Upstream) *upstr.Upstream {
+	return r.Grant(now, t, func(live []*upstr.Upstream) *upstr.Upstream {
 		r.next++
 		return live[r.next%len(live)]
 	})
