--- a/core/late/bench_test.go
+++ b/core/pull/bench_test.go
@@ -1,4 +1,4 @@
-package late_test
+package pull_test
 
 import (
 	"fmt"
@@ -8,12 +8,12 @@
 
 	"azurelane/core/acct"
 	"azurelane/core/conf"
-	"azurelane/core/late"
 	"azurelane/core/pool"
+	"azurelane/core/pull"
 	"azurelane/core/wire"
 )
 
-// size is how much a pool's owner has to do.
+// size is the load on a pool's owner in one benchmark.
 type size struct{ tickets, upstreams, entries, accounts int }
 
 func (s size) String() string {
@@ -22,7 +22,8 @@
 
 const slotsEach = 16
 
-// sizes vary one quantity at a time around the largest pool designed for.
+// sizes returns loads that vary one quantity at a time around the largest pool that the
+// policy is designed for.
 func sizes() []size {
 	var list []size
 	for _, n := range []int{1250, 2500, 5000, 10000, 20000} {
@@ -37,8 +38,8 @@
 	return list
 }
 
-// ticket makes the i-th ticket of a mix of tiers, lengths, accounts, prefixes
-// and deadlines.
+// ticket returns the i-th ticket of a mix of tiers, lengths, accounts, prefixes and
+// deadlines.
 func (s size) ticket(i int) *wire.Ticket {
 	t := &wire.Ticket{
 		Id: uint64(i), Entry: fmt.Sprint("entry-", i%s.entries), Incarnation: fmt.Sprint("inc-", i%s.entries),
@@ -54,31 +55,32 @@
 	return t
 }
 
-// full returns a policy with all slots granted and the tickets waiting.
-func (s size) full() (l *late.Late, running []*wire.Decision, now time.Time) {
+// loaded returns a policy with every slot granted and s.tickets tickets waiting, the
+// granted decisions, and the current time.
+func (s size) loaded() (p *pull.Policy, running []*wire.Decision, now time.Time) {
 	cfg := &conf.Config{Accounts: map[string]acct.Account{}, Pools: map[string]pool.Pool{"p": {MaxWaiting: 1 << 20, MaxRun: time.Hour}}}
 	for i := range s.accounts {
 		cfg.Accounts[fmt.Sprint("account-", i)] = acct.Account{MaxWaiting: 1 << 20}
 	}
-	l = newLate(cfg)
+	p = newPolicy(cfg)
 	now = start
 	for i := range s.upstreams {
 		a := announce(i, slotsEach)
 		a.Models = []string{"m"}
-		l.Announce(now, a)
+		p.Announce(now, a)
 	}
 	for i := range s.tickets + s.upstreams*slotsEach {
-		running = append(running, l.Submit(now, s.ticket(i))...)
+		running = append(running, p.Submit(now, s.ticket(i))...)
 	}
-	return l, running, now
+	return p, running, now
 }
 
-// BenchmarkGrant is one release with the grant that follows it and the next
-// ticket's submission, while all slots are taken and the tickets wait.
+// BenchmarkGrant measures a release together with the grant that follows it, and the
+// submission of the next ticket, while every slot is taken and s.tickets tickets wait.
 func BenchmarkGrant(b *testing.B) {
 	for _, s := range sizes() {
 		b.Run(s.String(), func(b *testing.B) {
-			l, running, now := s.full()
+			p, running, now := s.loaded()
 			next := s.tickets + s.upstreams*slotsEach
 			fresh := make([]*wire.Ticket, 4096)
 			b.ReportAllocs()
@@ -91,14 +93,14 @@
 						fresh[i] = s.ticket(next + i)
 					}
 					next += len(fresh)
-					l.Tick(now)
+					p.Tick(now)
 					b.StartTimer()
 				}
 				d := running[n%len(running)]
 				at := time.Now()
-				ds := l.Release(now, release(d))
+				ds := p.Release(now, release(d))
 				mid := time.Now()
-				more := l.Submit(now, fresh[n%len(fresh)])
+				more := p.Submit(now, fresh[n%len(fresh)])
 				submit += time.Since(mid)
 				grant += mid.Sub(at)
 				if len(ds) != 1 || len(more) != 0 {
@@ -114,26 +116,26 @@
 	}
 }
 
-// BenchmarkTick is the tick in between, and every fortieth with a sweep.
+// BenchmarkTick measures one Tick for every 5 ms of simulated time. Every fortieth one sweeps.
 func BenchmarkTick(b *testing.B) {
 	for _, s := range sizes() {
 		b.Run(s.String(), func(b *testing.B) {
-			l, _, now := s.full()
+			p, _, now := s.loaded()
 			b.ReportAllocs()
 			for b.Loop() {
-				if now.Sub(start) > 5*time.Minute { // Before the first deadline.
+				if now.Sub(start) > 5*time.Minute { // Rebuild before the first deadline expires a ticket.
 					b.StopTimer()
-					l, _, now = s.full()
+					p, _, now = s.loaded()
 					b.StartTimer()
 				}
 				now = now.Add(5 * time.Millisecond)
-				l.Tick(now)
+				p.Tick(now)
 			}
 		})
 	}
 }
 
-// BenchmarkMemory is what one waiting ticket takes up at the owner.
+// BenchmarkMemory measures the memory that one waiting ticket takes at the owner.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{1250, 2500, 5000, 10000, 20000} {
 		s := size{n, 130, 60, 55}
@@ -141,16 +143,16 @@
 			var bytes float64
 			for b.Loop() {
 				var before, after runtime.MemStats
-				l, _, now := size{1, s.upstreams, s.entries, s.accounts}.full()
+				p, _, now := size{1, s.upstreams, s.entries, s.accounts}.loaded()
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				for i := range n {
-					l.Submit(now, s.ticket(1_000_000+i))
+					p.Submit(now, s.ticket(1_000_000+i))
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				bytes = float64(after.HeapAlloc-before.HeapAlloc) / float64(n)
-				runtime.KeepAlive(l)
+				runtime.KeepAlive(p)
 			}
 			b.ReportMetric(bytes, "B/ticket")
 		})
--- /dev/null
+++ b/core/pull/learn.go
@@ -0,0 +1,108 @@
+package pull
+
+import (
+	"slices"
+	"time"
+
+	"azurelane/core/limit"
+	"azurelane/core/slot"
+	"azurelane/core/wire"
+)
+
+const (
+	// A run is overdue after overdueFactor times its expected time plus overdueGrace.
+	overdueFactor = 4
+	overdueGrace  = time.Second
+	// maxCachedFraction is the fraction of the expected prefill time without a cache below
+	// which a run with a cached prefix must stay. A slower prefill shows that the prefix
+	// was not cached.
+	maxCachedFraction = 0.5
+)
+
+// Release frees a slot, learns from the run and grants free slots. A release of a slot that
+// this owner does not hold any more is ignored, because the run was already counted or
+// given up.
+func (p *Policy) Release(now time.Time, r *wire.Release) []*wire.Decision {
+	s := p.slots.Free(now, r)
+	if s == nil {
+		return nil
+	}
+	p.learn(now, s, r)
+	if !slices.Contains(p.available, s.Up) {
+		p.available = append(p.available, s.Up)
+	}
+	return p.assign(now)
+}
+
+func (p *Policy) learn(now time.Time, s *slot.Slot, r *wire.Release) {
+	t, u := s.Ticket, s.Up
+	switch {
+	case !r.GetDispatched():
+		p.queue.Correct(t.GetAccount(), -s.Work)
+		if r.GetFailed() {
+			u.Learnt.Fail(now, "")
+		}
+		return
+	case r.GetFailed():
+		p.recordFailure(now, s, r)
+		return
+	}
+	prompt, answer := t.GetPromptTokens(), t.GetAnswerTokens()
+	if n := r.GetPromptTokens(); n > 0 {
+		prompt = n
+	}
+	if n := r.GetAnswerTokens(); n > 0 {
+		answer = n
+	}
+	if s.Work > 0 {
+		p.queue.Correct(t.GetAccount(), limit.Cost(prompt, answer)-s.Work)
+	}
+	p.abuse.Done(t.GetAccount())
+	first, total := micros(r.GetFirstTokenUs()), micros(r.GetTotalUs())
+	if s.Cached && p.cacheMissed(s, prompt, first) {
+		u.Cache.Wrong(t.GetPrefixHash())
+		s.Cached = false
+	}
+	u.Learnt.Done(now, prompt, answer, s.Cached, first, total, u.Running+1, u.Limit())
+}
+
+// recordFailure attributes a failed run to the account or to the upstream. An account whose
+// requests fail where those of others succeed is confined; from then on its failures don't
+// count against upstreams.
+func (p *Policy) recordFailure(now time.Time, s *slot.Slot, r *wire.Release) {
+	account := s.Ticket.GetAccount()
+	if d := s.Ticket.GetDeadlineUs(); d > 0 && micros(r.GetTotalUs()) >= micros(d)*9/10 {
+		return // The caller's own deadline ended the run; checkOverdue detects upstreams that hang.
+	}
+	if _, confined := p.abuse.Confined(now, account); confined {
+		p.abuse.Fail(now, account, s.Up.GetUpstream())
+		return
+	}
+	s.Up.Learnt.Fail(now, account)
+	if s.Up.Learnt.Blameless(now) {
+		p.abuse.Fail(now, account, s.Up.GetUpstream())
+	}
+}
+
+// cacheMissed reports whether the time to the first token shows that the prefix was not
+// cached.
+func (p *Policy) cacheMissed(s *slot.Slot, prompt int64, first time.Duration) bool {
+	full := s.Up.Learnt.Expect(prompt, 0, false) - s.Up.Learnt.Expect(0, 0, false)
+	saved := full - (s.Up.Learnt.Expect(prompt, 0, true) - s.Up.Learnt.Expect(0, 0, true))
+	return first > 0 && saved > 0 && first > s.Up.Learnt.Expect(0, 0, true)+time.Duration(maxCachedFraction*float64(full))
+}
+
+// checkOverdue returns a function for the sweep that takes an upstream out of service if
+// one of its runs takes much longer than expected and no other run there has succeeded
+// meanwhile. A frozen engine keeps its connections open and may go on announcing itself, so
+// neither a failed run nor an expired lease reveals it before the callers' deadlines.
+func (p *Policy) checkOverdue(now time.Time) func(*slot.Slot) {
+	return func(s *slot.Slot) {
+		limit := overdueFactor*s.Expect + overdueGrace
+		if s.Expect > 0 && now.Sub(s.Since) > limit && now.Sub(s.Up.Learnt.Good()) > limit {
+			s.Up.Learnt.Out(now)
+		}
+	}
+}
+
+func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/io/sched/sched_test.go
+++ b/io/sched/sched_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 
 	"azurelane/core/conf"
-	_ "azurelane/core/late"
 	"azurelane/core/pool"
+	_ "azurelane/core/pull"
 	"azurelane/core/wire"
 	"azurelane/io/sched"
 )
--- a/io/sched/speeds_test.go
+++ b/io/sched/speeds_test.go
@@ -8,8 +8,8 @@
 
 	_ "azurelane/core/batch" // Registers the policy that learns.
 	"azurelane/core/conf"
-	_ "azurelane/core/late" // Registers one that tells nothing.
 	"azurelane/core/pool"
+	_ "azurelane/core/pull" // Registers one that tells nothing.
 	"azurelane/core/wire"
 )
 
