--- a/core/pull/admit.go
+++ b/core/pull/admit.go
@@ -61,7 +61,7 @@
 	if now.After(i.Latest) {
 		return refuse.Deadline, maxRetry
 	}
-	if p.rate == 0 || p.queue.Lower(i.GetAccount(), i.Level()) {
+	if p.rate == 0 || p.queue.HasLower(i.GetAccount(), i.Level()) {
 		return "", 0
 	}
 	if late := p.lateness(now, i); late > 0 {
@@ -74,7 +74,7 @@
 // dispatched, given the work queued ahead of it. It is negative if the item is in time.
 func (p *Policy) lateness(now time.Time, i *item.Item) time.Duration {
 	left := i.Latest.Sub(now)
-	return seconds(p.queue.Ahead(i, left, p.rate)/p.rate) - left
+	return seconds(p.queue.WorkAhead(i, left, p.rate)/p.rate) - left
 }
 
 // retryAfter returns the retry delay for a shed ticket: the time that the pool needs for
@@ -83,7 +83,7 @@
 	if p.rate == 0 {
 		return spreadRetry(i.Ticket, time.Second)
 	}
-	return spreadRetry(i.Ticket, seconds(p.queue.Ahead(i, 0, p.rate)/p.rate))
+	return spreadRetry(i.Ticket, seconds(p.queue.WorkAhead(i, 0, p.rate)/p.rate))
 }
 
 // spreadRetry limits the delay to between minRetry and maxRetry and then adds up to half of
--- a/core/pull/learn.go
+++ b/core/pull/learn.go
@@ -38,7 +38,7 @@
 	t, u := s.Ticket, s.Up
 	switch {
 	case !r.GetDispatched():
-		p.queue.Correct(t.GetAccount(), -s.Work)
+		p.queue.AdjustCharge(t.GetAccount(), -s.Work)
 		if r.GetFailed() {
 			u.Learnt.Fail(now, "")
 		}
@@ -55,7 +55,7 @@
 		answer = n
 	}
 	if s.Work > 0 {
-		p.queue.Correct(t.GetAccount(), limit.Cost(prompt, answer)-s.Work)
+		p.queue.AdjustCharge(t.GetAccount(), limit.Cost(prompt, answer)-s.Work)
 	}
 	p.abuse.Done(t.GetAccount())
 	first, total := micros(r.GetFirstTokenUs()), micros(r.GetTotalUs())
--- a/core/pull/pull.go
+++ b/core/pull/pull.go
@@ -120,13 +120,13 @@
 	if code, after := p.checkDeadline(now, i); code != "" {
 		return []*wire.Decision{refuse.Ticket(t, code, after)}
 	}
-	p.queue.Arrived(i)
+	p.queue.RecordArrival(i)
 	p.queue.Push(i)
 	out := p.assign(now)
-	for v := p.queue.OverAccount(t.GetAccount()); v != nil; v = p.queue.OverAccount(t.GetAccount()) {
+	for v := p.queue.ShedOverAccountLimit(t.GetAccount()); v != nil; v = p.queue.ShedOverAccountLimit(t.GetAccount()) {
 		out = append(out, refuse.Ticket(v.Ticket, refuse.AccountLimit, p.retryAfter(v)))
 	}
-	for v := p.queue.OverPool(); v != nil; v = p.queue.OverPool() {
+	for v := p.queue.ShedOverPoolLimit(); v != nil; v = p.queue.ShedOverPoolLimit() {
 		out = append(out, refuse.Ticket(v.Ticket, refuse.Overloaded, p.retryAfter(v)))
 	}
 	return out
@@ -144,7 +144,7 @@
 func (p *Policy) cancel(now time.Time, incarnation string, ticket uint64) {
 	if s := p.slots.Cancel(now, incarnation, ticket); s != nil {
 		p.availableStale = true
-		p.queue.Correct(s.Ticket.GetAccount(), -s.Work)
+		p.queue.AdjustCharge(s.Ticket.GetAccount(), -s.Work)
 	}
 }
 
@@ -166,14 +166,14 @@
 func (p *Policy) Forget(now time.Time, incarnation string) []*wire.Decision {
 	p.slots.Forget(incarnation)
 	p.availableStale = true
-	p.queue.Drop(func(i *item.Item) bool { return i.GetIncarnation() == incarnation })
+	p.queue.RemoveFunc(func(i *item.Item) bool { return i.GetIncarnation() == incarnation })
 	return p.assign(now)
 }
 
 // Tick refuses tickets that can't meet their deadline any more and grants free slots.
 func (p *Policy) Tick(now time.Time) []*wire.Decision {
 	var out []*wire.Decision
-	for i := p.queue.Expired(now); i != nil; i = p.queue.Expired(now) {
+	for i := p.queue.PopExpired(now); i != nil; i = p.queue.PopExpired(now) {
 		out = append(out, refuse.Ticket(i.Ticket, refuse.Deadline, p.retryAfter(i)))
 	}
 	if now.Sub(p.lastSweep) >= sweepInterval {
@@ -188,7 +188,7 @@
 		return nil
 	}
 	var out []*wire.Decision
-	p.queue.Round()
+	p.queue.StartRound()
 	p.refreshAvailable(now)
 	for len(p.available) > 0 {
 		var granted *wire.Decision
--- a/core/pull/sweep.go
+++ b/core/pull/sweep.go
@@ -64,7 +64,7 @@
 // letting them wait until their deadline.
 func (p *Policy) refuseUnserved(now time.Time) []*wire.Decision {
 	var out []*wire.Decision
-	for _, i := range p.queue.Drop(func(i *item.Item) bool { return !p.hasUpstream(now, i.Ticket) }) {
+	for _, i := range p.queue.RemoveFunc(func(i *item.Item) bool { return !p.hasUpstream(now, i.Ticket) }) {
 		out = append(out, refuse.Ticket(i.Ticket, refuse.NoUpstream, startGrace))
 	}
 	return out
@@ -80,7 +80,7 @@
 	}
 	var out []*wire.Decision
 	for _, i := range p.queue.Newest() {
-		for n := 0; i != nil && n < maxReviewRefusals && !i.Latest.IsZero() && !p.queue.Lower(i.GetAccount(), i.Level()); n++ {
+		for n := 0; i != nil && n < maxReviewRefusals && !i.Latest.IsZero() && !p.queue.HasLower(i.GetAccount(), i.Level()); n++ {
 			late := p.lateness(now, i)
 			if late <= time.Duration(reviewSlack*float64(i.Latest.Sub(now))) {
 				break
--- a/core/pull/throughput.go
+++ b/core/pull/throughput.go
@@ -25,7 +25,7 @@
 	first := t.lastUpdate.IsZero()
 	t.lastUpdate = now
 	if !first && span > 0 {
-		p.queue.Turn(span, throughputGain)
+		p.queue.UpdateRates(span, throughputGain)
 		if t.backlogged >= minBacklogged {
 			t.rate += throughputGain * (t.granted/span.Seconds() - t.rate)
 		}
--- a/core/queue/heap.go
+++ b/core/queue/heap.go
@@ -1,11 +1,11 @@
 package queue
 
 type (
-	// nodes is what both heaps have in common.
+	// nodes is the common part of both heaps.
 	nodes []*node
 
-	flowHeap   struct{ nodes } // By deadline, then by arrival; no deadline is the last one.
-	latestHeap struct{ nodes } // By the latest time of dispatch.
+	flowHeap   struct{ nodes } // By deadline, then by arrival; tickets without a deadline come last.
+	expiryHeap struct{ nodes } // By the latest dispatch time, then by arrival.
 )
 
 func (h nodes) Len() int { return len(h) }
@@ -16,7 +16,7 @@
 	return n
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (h *nodes) Pop() any {
 	old := *h
 	last := len(old) - 1
@@ -26,24 +26,24 @@
 	return n
 }
 
-func (h flowHeap) Less(i, j int) bool { return sooner(h.nodes[i], h.nodes[j]) }
+func (h flowHeap) Less(i, j int) bool { return dueBefore(h.nodes[i], h.nodes[j]) }
 
 func (h flowHeap) Swap(i, j int) {
 	h.nodes[i], h.nodes[j] = h.nodes[j], h.nodes[i]
-	h.nodes[i].at, h.nodes[j].at = i, j
+	h.nodes[i].flowIndex, h.nodes[j].flowIndex = i, j
 }
 
-// Push is for container/heap.
-func (h *flowHeap) Push(x any) { h.add(x).at = h.Len() - 1 }
+// Push implements heap.Interface.
+func (h *flowHeap) Push(x any) { h.add(x).flowIndex = h.Len() - 1 }
 
-func sooner(a, b *node) bool {
-	if a.end != b.end {
-		return a.end < b.end
+func dueBefore(a, b *node) bool {
+	if a.deadlineNs != b.deadlineNs {
+		return a.deadlineNs < b.deadlineNs
 	}
 	return a.seq < b.seq
 }
 
-func (h latestHeap) Less(i, j int) bool {
+func (h expiryHeap) Less(i, j int) bool {
 	a, b := h.nodes[i], h.nodes[j]
 	if a.Latest.Equal(b.Latest) {
 		return a.seq < b.seq
@@ -51,10 +51,10 @@
 	return a.Latest.Before(b.Latest)
 }
 
-func (h latestHeap) Swap(i, j int) {
+func (h expiryHeap) Swap(i, j int) {
 	h.nodes[i], h.nodes[j] = h.nodes[j], h.nodes[i]
-	h.nodes[i].expires, h.nodes[j].expires = i, j
+	h.nodes[i].expiryIndex, h.nodes[j].expiryIndex = i, j
 }
 
-// Push is for container/heap.
-func (h *latestHeap) Push(x any) { h.add(x).expires = h.Len() - 1 }
+// Push implements heap.Interface.
+func (h *expiryHeap) Push(x any) { h.add(x).expiryIndex = h.Len() - 1 }
--- a/core/queue/next.go
+++ b/core/queue/next.go
@@ -5,20 +5,20 @@
 	"azurelane/core/tier"
 )
 
-// Round begins a new round of grants: what found no place in the last one is
-// tried again.
-func (q *Queue) Round() { q.round++ }
+// StartRound starts a new round of grants, in which tickets that could not be placed in the
+// last round are offered again.
+func (q *Queue) StartRound() { q.round++ }
 
-// depth is how many tickets of one flow are offered in a round.
-const depth = 8
+// offerDepth is how many tickets of one flow are offered in a round.
+const offerDepth = 8
 
-// Next offers waiting tickets to try, the first one first, until one is
-// placed; that one is taken out and returned. Try returns full when no ticket
-// of the same model and length would find a place; these aren't offered again
-// in this round. Next returns nil when nothing more can be placed.
+// Next offers waiting tickets to try, in scheduling order, until one is placed; that one is
+// removed and returned. try returns full if no ticket of the same model and length can be
+// placed; these are not offered again in this round. Next returns nil if nothing more can
+// be placed.
 func (q *Queue) Next(try func(*item.Item) (placed, full bool)) *item.Item {
 	for {
-		f, a := q.best()
+		f, a := q.nextFlow()
 		if f == nil {
 			return nil
 		}
@@ -29,18 +29,18 @@
 			q.charge(a, n.Level(), n.Work)
 			return n.Item
 		case full:
-			f.full = q.round
+			f.fullRound = q.round
 		default:
-			f.aside = q.round
+			f.skippedRound = q.round
 		}
 	}
 }
 
-// offer tries the first tickets of the flow. A ticket may find no place for a
-// reason of its own, such as a deadline that a slow upstream can't meet, and
-// must not keep that upstream idle while the next one could use it.
+// offer tries the first tickets of the flow. A ticket may fail for a reason of its own,
+// such as a deadline that a slow upstream can't meet, and must not keep that upstream idle
+// while the next ticket could use it.
 func (f *flow) offer(try func(*item.Item) (placed, full bool)) (*node, bool) {
-	for _, n := range f.items.nodes[:min(depth, f.items.Len())] {
+	for _, n := range f.items.nodes[:min(offerDepth, f.items.Len())] {
 		placed, full := try(n.Item)
 		if placed {
 			return n, false
@@ -52,9 +52,9 @@
 	return nil, false
 }
 
-// rank orders flows; the lower one is next.
+// rank orders flows; the lowest one is next.
 type rank struct {
-	level int // Of the tier, lowered for an account that is ahead of its share.
+	level int // Of the tier, or one lower in priority for an account that is ahead of its share.
 	used  float64
 	name  string
 }
@@ -69,104 +69,107 @@
 	return r.name < s.name
 }
 
-// best returns the flow whose first ticket is next. A tier that has saved up
-// its share goes before all others.
-func (q *Queue) best() (*flow, *account) {
+// nextFlow returns the flow whose first ticket is next, and its account. A tier that has
+// accumulated enough credit from its minimum share precedes all others.
+func (q *Queue) nextFlow() (*flow, *account) {
 	for l := tier.Levels - 1; l > 0; l-- {
-		if q.waiting[l] > 0 && q.saved[l] >= q.longest[l] {
-			if f, a := q.first(l); f != nil {
+		if q.waiting[l] > 0 && q.credit[l] >= q.maxWork[l] {
+			if f, a := q.bestFlow(l); f != nil {
 				return f, a
 			}
 		}
 	}
-	return q.first(-1)
+	return q.bestFlow(-1)
 }
 
-// first returns the best flow of one tier, or of all for a negative level.
-func (q *Queue) first(level int) (*flow, *account) {
+// bestFlow returns the best flow of one tier, or of all tiers if level is negative, and its
+// account.
+func (q *Queue) bestFlow(level int) (*flow, *account) {
 	var best *flow
 	var owner *account
-	var top rank
+	var bestRank rank
 	for _, a := range q.active {
-		f := q.own(a, level)
+		f := q.accountFlow(a, level)
 		if f == nil {
 			continue
 		}
-		r := rank{q.level(a, f.level), max(a.used, q.clock-lag*q.Burst), a.name}
-		if best == nil || r.before(top) {
-			best, owner, top = f, a, r
+		r := rank{q.effectiveLevel(a, f.level), max(a.used, q.virtualTime-maxLag*q.Burst), a.name}
+		if best == nil || r.before(bestRank) {
+			best, owner, bestRank = f, a, r
 		}
 	}
 	return best, owner
 }
 
-// own returns the account's first flow: the most urgent one, then the one with
-// the earliest deadline.
-func (q *Queue) own(a *account, level int) *flow {
-	if a.top == nil {
-		a.top = a.find(func(*flow) bool { return true })
+// accountFlow returns the account's first eligible flow: that of the most urgent tier, then
+// the one with the earliest deadline. A level that is not negative restricts it to that
+// tier.
+func (q *Queue) accountFlow(a *account, level int) *flow {
+	if a.firstFlow == nil {
+		a.firstFlow = a.bestFlow(func(*flow) bool { return true })
 	}
-	if level < 0 && q.offers(a.top) {
-		return a.top
+	if level < 0 && q.eligible(a.firstFlow) {
+		return a.firstFlow
 	}
-	return a.find(func(f *flow) bool { return (level < 0 || f.level == level) && q.offers(f) })
+	return a.bestFlow(func(f *flow) bool { return (level < 0 || f.level == level) && q.eligible(f) })
 }
 
-// offers reports whether the flow's tickets may still find a place in this round.
-func (q *Queue) offers(f *flow) bool { return f.aside != q.round && f.full != q.round }
+// eligible reports whether the flow's tickets may still be placed in this round.
+func (q *Queue) eligible(f *flow) bool { return f.skippedRound != q.round && f.fullRound != q.round }
 
-func (a *account) find(ok func(*flow) bool) *flow {
+func (a *account) bestFlow(ok func(*flow) bool) *flow {
 	var best *flow
 	for _, f := range a.flows {
-		if ok(f) && (best == nil || f.level < best.level || (f.level == best.level && sooner(f.items.nodes[0], best.items.nodes[0]))) {
+		if ok(f) && (best == nil || f.level < best.level || (f.level == best.level && dueBefore(f.items.nodes[0], best.items.nodes[0]))) {
 			best = f
 		}
 	}
 	return best
 }
 
-// level is the tier at which an account's work stands against the work of
-// other accounts. Within its share it is its own tier. Work beyond the share
-// stands one tier lower: otherwise an account that marks ten times its share as
-// urgent would take the pool from all the others' normal work.
-func (q *Queue) level(a *account, level int) int {
+// effectiveLevel returns the level at which an account's work competes with that of other
+// accounts. Work within the account's share competes at its own tier. Work beyond the share
+// competes one tier lower: otherwise an account that marks ten times its share as urgent
+// would take the pool from the normal work of all others.
+func (q *Queue) effectiveLevel(a *account, level int) int {
 	switch {
-	case level == 0 && a.urgent > q.clock+q.Burst/a.weight:
+	case level == 0 && a.urgentUsed > q.virtualTime+q.Burst/a.weight:
 		return 1
-	case level == 1 && a.used > q.clock+q.Burst/a.weight:
+	case level == 1 && a.used > q.virtualTime+q.Burst/a.weight:
 		return 2
 	}
 	return level
 }
 
-// charge counts granted work against its account and its tier.
+// charge counts granted work against its account and its tier and advances the virtual
+// time.
 func (q *Queue) charge(a *account, level int, work float64) {
-	w := q.account(a.name).Weight
-	a.used = max(a.used, q.clock-lag*q.Burst) + work/w
+	w := q.accountConfig(a.name).Weight
+	a.used = max(a.used, q.virtualTime-maxLag*q.Burst) + work/w
 	if level == 0 {
-		a.urgent = max(a.urgent, q.clock) + work/w
+		a.urgentUsed = max(a.urgentUsed, q.virtualTime) + work/w
 	}
-	weights := q.weights
-	if a.at < 0 {
-		weights += w // It was taken out with its last ticket.
+	weights := q.activeWeight
+	if a.activeIndex < 0 {
+		weights += w // remove has deactivated the account with its last ticket.
 	}
-	q.clock += work / weights
+	q.virtualTime += work / weights
 	for l, share := range q.Shares {
 		if share <= 0 {
 			continue
 		}
 		if l == level {
-			q.saved[l] = max(q.saved[l]-work, 0)
+			q.credit[l] = max(q.credit[l]-work, 0)
 		} else if q.waiting[l] > 0 {
-			q.saved[l] = min(q.saved[l]+share*work, 2*q.longest[l])
+			q.credit[l] = min(q.credit[l]+share*work, 2*q.maxWork[l])
 		}
 	}
 }
 
-// Correct adds to what an account was charged: the work that came back less
-// the work that was estimated.
-func (q *Queue) Correct(name string, work float64) {
+// AdjustCharge adds to the work that an account was charged: the actual work less the
+// estimated work.
+func (q *Queue) AdjustCharge(name string, work float64) {
 	if a := q.accounts[name]; a != nil {
-		a.used += work / q.account(name).Weight
+		a.used += work / q.accountConfig(name).Weight
 	}
 }
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,6 +1,5 @@
-// Package queue holds the waiting tickets of one pool and says which of them
-// is next: by tier, then by weighted fair share between client accounts, then
-// by deadline.
+// Package queue holds the waiting tickets of one pool and selects the next one: by tier,
+// then by weighted fair share between client accounts, then by deadline.
 package queue
 
 import (
@@ -16,75 +15,75 @@
 )
 
 type (
-	// Queue is the queue of one pool. The zero value is empty and ready; its
+	// Queue is the queue of one pool. The zero value is empty and ready to use. The
 	// exported fields may be changed at any time.
 	Queue struct {
 		Accounts   map[string]acct.Account
-		MaxWaiting int                  // Tickets in all; zero for no limit.
-		Shares     [tier.Levels]float64 // Least part of the work that a waiting tier gets.
+		MaxWaiting int                  // Tickets in total; zero for no limit.
+		Shares     [tier.Levels]float64 // Minimum share of the work for a tier that waits.
 		Burst      float64              // Work units that an account may be ahead of its share.
 
-		accounts map[string]*account
-		all      []*account // By first arrival.
-		active   []*account // With waiting tickets.
-		tickets  map[ticketKey]*node
-		latest   latestHeap
-		seq      uint64
-		round    uint64
-		classes  map[classKey]*class // One value for each, shared by its flows.
-		clock    float64             // Virtual time: work granted for each weight that waits.
-		weights  float64             // Of the active accounts.
-		work     [tier.Levels]float64
-		waiting  [tier.Levels]int
-		saved    [tier.Levels]float64 // Work that a tier with a share may claim.
-		longest  [tier.Levels]float64 // Largest ticket seen.
+		accounts     map[string]*account
+		all          []*account // In the order of their first arrival.
+		active       []*account // Accounts with waiting tickets.
+		tickets      map[ticketKey]*node
+		expiry       expiryHeap
+		seq          uint64
+		round        uint64
+		classes      map[classKey]*class // One value for each key, shared by the flows.
+		virtualTime  float64             // Work units granted per unit of active weight.
+		activeWeight float64             // Sum over the active accounts.
+		work         [tier.Levels]float64
+		waiting      [tier.Levels]int
+		credit       [tier.Levels]float64 // Work units that a tier with a minimum share may claim.
+		maxWork      [tier.Levels]float64 // Largest ticket seen, in work units.
 	}
 
-	// account is one client account's part of the queue.
+	// account is the state of one client account.
 	account struct {
-		name    string
-		at      int     // In active; -1 when it has no waiting ticket.
-		weight  float64 // As it was added to the active weights.
-		used    float64 // Virtual time of the work that it was granted.
-		urgent  float64 // The same for urgent work alone.
-		flows   []*flow // Not empty.
-		top     *flow   // The first of them; nil when it has to be found anew.
-		newest  [tier.Levels]*node
-		waiting [tier.Levels]int
-		work    [tier.Levels]float64
-		n       int
-		arrives [tier.Levels]float64 // Work units a second of late.
-		asked   [tier.Levels]float64 // Work units since the last turn.
+		name        string
+		activeIndex int     // Index in active; -1 without waiting tickets.
+		weight      float64 // As added to activeWeight.
+		used        float64 // Virtual time of the work granted to it.
+		urgentUsed  float64 // Virtual time of the urgent work granted to it.
+		flows       []*flow // Non-empty flows.
+		firstFlow   *flow   // First of flows in scheduling order; nil if it must be searched again.
+		newest      [tier.Levels]*node
+		waiting     [tier.Levels]int
+		work        [tier.Levels]float64
+		total       int
+		arrivalRate [tier.Levels]float64 // Recent work units a second.
+		arrived     [tier.Levels]float64 // Work units since the last UpdateRates.
 	}
 
-	// flow holds an account's tickets of one tier that fit the same places.
+	// flow holds an account's tickets of one tier and one class.
 	flow struct {
 		*class
-		level int
-		items flowHeap
-		aside uint64 // The round in which its first ticket found no place.
+		level        int
+		items        flowHeap
+		skippedRound uint64 // Last round in which its first tickets could not be placed.
 	}
 
-	// class groups tickets that fit the same places: when one of them finds
-	// none, no other one would.
+	// class groups tickets that fit the same upstreams: if there is no room for one of
+	// them, there is none for the others.
 	class struct {
 		classKey
-		full uint64 // The last round in which it found no place.
+		fullRound uint64 // Last round in which there was no room for it.
 	}
 
 	classKey struct {
 		model string
-		long  bool // And not urgent.
+		long  bool // Long and not urgent.
 	}
 
 	node struct {
 		*item.Item
-		seq          uint64
-		end          int64 // Deadline, for quick comparison; the largest for none.
-		flow         *flow
-		account      *account
-		at, expires  int // In the flow and in the heap of latest times; -1 for none.
-		older, newer *node
+		seq                    uint64
+		deadlineNs             int64 // Unix time of the deadline in ns, for fast comparison; the maximum without a deadline.
+		flow                   *flow
+		account                *account
+		flowIndex, expiryIndex int // Indexes in the flow's heap and in expiry; -1 for none.
+		older, newer           *node
 	}
 
 	ticketKey struct {
@@ -93,41 +92,41 @@
 	}
 )
 
-// lag bounds how far an account's virtual time may stay behind, in bursts. What
-// it has not used for longer is lost to it, so that it can't take the whole
-// pool for minutes.
-const lag = 16
+// maxLag is how far an account's virtual time may fall behind, in bursts. Share that was
+// left unused for longer is lost, so that the account can't take the whole pool for
+// minutes.
+const maxLag = 16
 
-// Push adds a ticket. A limit may be exceeded until OverAccount and OverPool
-// are asked.
+// Push adds a ticket. Limits may be exceeded until ShedOverAccountLimit and
+// ShedOverPoolLimit are called.
 func (q *Queue) Push(i *item.Item) {
-	a := q.of(i.GetAccount())
+	a := q.accountState(i.GetAccount())
 	q.seq++
-	n := &node{Item: i, seq: q.seq, end: math.MaxInt64, account: a, expires: -1}
+	n := &node{Item: i, seq: q.seq, deadlineNs: math.MaxInt64, account: a, expiryIndex: -1}
 	if !i.Deadline.IsZero() {
-		n.end = i.Deadline.UnixNano()
+		n.deadlineNs = i.Deadline.UnixNano()
 	}
 	q.tickets[ticketKey{i.GetIncarnation(), i.GetId()}] = n
 	q.link(n)
-	if a.at < 0 {
+	if a.activeIndex < 0 {
 		q.activate(a)
 	}
 	n.flow = a.flow(q.class(i), i.Level())
 	heap.Push(&n.flow.items, n)
-	a.top = nil
+	a.firstFlow = nil
 	if !i.Latest.IsZero() {
-		heap.Push(&q.latest, n)
+		heap.Push(&q.expiry, n)
 	}
 }
 
-// of returns the account's part of the queue.
-func (q *Queue) of(name string) *account {
+// accountState returns the state of the account, which it creates if needed.
+func (q *Queue) accountState(name string) *account {
 	if q.tickets == nil {
 		q.accounts, q.tickets, q.classes = map[string]*account{}, map[ticketKey]*node{}, map[classKey]*class{}
 	}
 	a := q.accounts[name]
 	if a == nil {
-		a = &account{name: name, at: -1}
+		a = &account{name: name, activeIndex: -1}
 		q.accounts[name] = a
 		q.all = append(q.all, a)
 	}
@@ -141,25 +140,25 @@
 		n.older.newer = n
 	}
 	a.newest[l] = n
-	a.n++
+	a.total++
 	a.waiting[l]++
 	a.work[l] += n.Work
 	q.waiting[l]++
 	q.work[l] += n.Work
-	q.longest[l] = max(q.longest[l], n.Work)
+	q.maxWork[l] = max(q.maxWork[l], n.Work)
 }
 
-// activate enters an account that has begun to wait. It can't claim the time
-// in which it did not wait, but what it is ahead of its share stays counted.
+// activate adds an account that has begun to wait. The account can't claim the time in
+// which it did not wait, but work that it got beyond its share stays counted.
 func (q *Queue) activate(a *account) {
-	a.at = len(q.active)
+	a.activeIndex = len(q.active)
 	q.active = append(q.active, a)
-	a.weight = q.account(a.name).Weight
-	q.weights += a.weight
-	a.used = max(a.used, q.clock)
+	a.weight = q.accountConfig(a.name).Weight
+	q.activeWeight += a.weight
+	a.used = max(a.used, q.virtualTime)
 }
 
-func (q *Queue) account(name string) acct.Account { return q.Accounts[name].WithDefaults() }
+func (q *Queue) accountConfig(name string) acct.Account { return q.Accounts[name].WithDefaults() }
 
 func (q *Queue) class(i *item.Item) *class {
 	k := classKey{i.GetModel(), i.Long && i.Level() > 0}
@@ -182,7 +181,7 @@
 	return f
 }
 
-// Remove takes a ticket out and returns it, or nil when it does not wait.
+// Remove removes and returns a ticket, or returns nil if the ticket does not wait.
 func (q *Queue) Remove(incarnation string, id uint64) *item.Item {
 	n := q.tickets[ticketKey{incarnation, id}]
 	if n == nil {
@@ -195,10 +194,10 @@
 func (q *Queue) remove(n *node) {
 	a, l, f := n.account, n.Level(), n.flow
 	delete(q.tickets, ticketKey{n.GetIncarnation(), n.GetId()})
-	heap.Remove(&f.items, n.at)
-	a.top = nil
-	if n.expires >= 0 {
-		heap.Remove(&q.latest, n.expires)
+	heap.Remove(&f.items, n.flowIndex)
+	a.firstFlow = nil
+	if n.expiryIndex >= 0 {
+		heap.Remove(&q.expiry, n.expiryIndex)
 	}
 	if n.newer != nil {
 		n.newer.older = n.older
@@ -208,13 +207,13 @@
 	if n.older != nil {
 		n.older.newer = n.newer
 	}
-	a.n--
+	a.total--
 	a.waiting[l]--
 	a.work[l] -= n.Work
 	q.waiting[l]--
 	q.work[l] -= n.Work
 	if q.waiting[l] == 0 {
-		q.work[l], q.saved[l] = 0, 0 // Rounding must not add up.
+		q.work[l], q.credit[l] = 0, 0 // Rounding errors must not accumulate.
 	}
 	if a.waiting[l] == 0 {
 		a.work[l] = 0
@@ -222,8 +221,8 @@
 	if f.items.Len() == 0 {
 		a.dropFlow(f)
 	}
-	if a.n == 0 {
-		q.rest(a)
+	if a.total == 0 {
+		q.deactivate(a)
 	}
 }
 
@@ -234,27 +233,27 @@
 	a.flows = a.flows[:last]
 }
 
-// rest takes an account out that has stopped waiting.
-func (q *Queue) rest(a *account) {
+// deactivate removes an account that has no waiting tickets left.
+func (q *Queue) deactivate(a *account) {
 	last := len(q.active) - 1
-	q.active[a.at] = q.active[last]
-	q.active[a.at].at = a.at
+	q.active[a.activeIndex] = q.active[last]
+	q.active[a.activeIndex].activeIndex = a.activeIndex
 	q.active[last] = nil
 	q.active = q.active[:last]
-	a.at = -1
-	q.weights -= a.weight
+	a.activeIndex = -1
+	q.activeWeight -= a.weight
 	if len(q.active) == 0 {
-		q.weights = 0
+		q.activeWeight = 0
 	}
 }
 
-// Expired takes out one ticket that can't be dispatched in time any more, or
-// returns nil.
-func (q *Queue) Expired(now time.Time) *item.Item {
-	if q.latest.Len() == 0 {
+// PopExpired removes and returns one ticket whose latest dispatch time has come, or returns
+// nil.
+func (q *Queue) PopExpired(now time.Time) *item.Item {
+	if q.expiry.Len() == 0 {
 		return nil
 	}
-	n := q.latest.nodes[0]
+	n := q.expiry.nodes[0]
 	if now.Before(n.Latest) {
 		return nil
 	}
@@ -262,12 +261,12 @@
 	return n.Item
 }
 
-// Drop takes out all tickets for which gone returns true, oldest first. It
-// looks at every ticket, so it is for rare events.
-func (q *Queue) Drop(gone func(*item.Item) bool) []*item.Item {
+// RemoveFunc removes and returns all tickets for which match returns true, oldest first. It
+// examines every ticket, so it is for rare events.
+func (q *Queue) RemoveFunc(match func(*item.Item) bool) []*item.Item {
 	var list []*node
 	for _, n := range q.tickets {
-		if gone(n.Item) {
+		if match(n.Item) {
 			list = append(list, n)
 		}
 	}
@@ -280,5 +279,5 @@
 	return items
 }
 
-// Len is the number of waiting tickets.
+// Len returns the number of waiting tickets.
 func (q *Queue) Len() int { return len(q.tickets) }
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -47,17 +47,17 @@
 	return &queue.Queue{Accounts: accounts, MaxWaiting: poolLimit, Shares: shares, Burst: burst}
 }
 
-// naive is the plain version of the queue: one list, searched from end to end.
-type naive struct {
+// model is the reference implementation of the queue: one list that is searched linearly.
+type model struct {
 	list         []*item.Item // In order of arrival.
 	used, urgent map[string]float64
-	clock        float64
-	saved        [3]float64
-	longest      [3]float64
+	virtualTime  float64
+	credit       [3]float64
+	maxWork      [3]float64
 }
 
-func (v *naive) count(account string, level int) (n int) {
-	for _, i := range v.list {
+func (m *model) count(account string, level int) (n int) {
+	for _, i := range m.list {
 		if (account == "" || i.GetAccount() == account) && (level < 0 || i.Level() == level) {
 			n++
 		}
@@ -67,35 +67,35 @@
 
 func weight(account string) float64 { return accounts[account].WithDefaults().Weight }
 
-func (v *naive) push(i *item.Item) {
-	if v.count(i.GetAccount(), -1) == 0 {
-		v.used[i.GetAccount()] = max(v.used[i.GetAccount()], v.clock)
+func (m *model) push(i *item.Item) {
+	if m.count(i.GetAccount(), -1) == 0 {
+		m.used[i.GetAccount()] = max(m.used[i.GetAccount()], m.virtualTime)
 	}
-	v.list = append(v.list, i)
-	v.longest[i.Level()] = max(v.longest[i.Level()], i.Work)
+	m.list = append(m.list, i)
+	m.maxWork[i.Level()] = max(m.maxWork[i.Level()], i.Work)
 }
 
-func (v *naive) take(i *item.Item) {
-	v.list = slices.DeleteFunc(v.list, func(o *item.Item) bool { return o == i })
-	if v.count("", i.Level()) == 0 {
-		v.saved[i.Level()] = 0
+func (m *model) take(i *item.Item) {
+	m.list = slices.DeleteFunc(m.list, func(o *item.Item) bool { return o == i })
+	if m.count("", i.Level()) == 0 {
+		m.credit[i.Level()] = 0
 	}
 }
 
-// standing is the tier at which the item is compared with other accounts' work.
-func (v *naive) standing(i *item.Item) int {
+// effectiveLevel returns the level at which the item competes with other accounts' work.
+func (m *model) effectiveLevel(i *item.Item) int {
 	a := i.GetAccount()
-	if i.Level() == 0 && v.urgent[a] > v.clock+burst/weight(a) || i.Level() == 1 && v.used[a] > v.clock+burst/weight(a) {
+	if i.Level() == 0 && m.urgent[a] > m.virtualTime+burst/weight(a) || i.Level() == 1 && m.used[a] > m.virtualTime+burst/weight(a) {
 		return i.Level() + 1
 	}
 	return i.Level()
 }
 
-// ahead says which of two accounts' first items is granted first; of equals it
-// is the one by name.
-func (v *naive) ahead(a, b *item.Item) bool {
-	used := func(i *item.Item) float64 { return max(v.used[i.GetAccount()], v.clock-16*burst) }
-	return cmp.Or(cmp.Compare(v.standing(a), v.standing(b)), cmp.Compare(used(a), used(b))) < 0
+// grantedBefore reports whether a is granted before b, where both are the first items of
+// their accounts. The caller breaks ties by the accounts' names.
+func (m *model) grantedBefore(a, b *item.Item) bool {
+	used := func(i *item.Item) float64 { return max(m.used[i.GetAccount()], m.virtualTime-16*burst) }
+	return cmp.Or(cmp.Compare(m.effectiveLevel(a), m.effectiveLevel(b)), cmp.Compare(used(a), used(b))) < 0
 }
 
 func end(i *item.Item) time.Time {
@@ -105,75 +105,75 @@
 	return i.Deadline
 }
 
-// before says which of two items of one account is first.
+// before reports whether a comes before b, where both belong to one account.
 func before(a, b *item.Item) bool {
 	return cmp.Or(cmp.Compare(a.Level(), b.Level()), end(a).Compare(end(b))) < 0
 }
 
-// next returns what is granted, of the items that ok allows.
-func (v *naive) next(ok func(*item.Item) bool) *item.Item {
+// next removes and returns the item to grant among those that ok allows.
+func (m *model) next(ok func(*item.Item) bool) *item.Item {
 	level := -1
 	for l := 2; l > 0 && level < 0; l-- {
-		if v.saved[l] >= v.longest[l] && slices.ContainsFunc(v.list, func(i *item.Item) bool { return i.Level() == l && ok(i) }) {
+		if m.credit[l] >= m.maxWork[l] && slices.ContainsFunc(m.list, func(i *item.Item) bool { return i.Level() == l && ok(i) }) {
 			level = l
 		}
 	}
 	var best *item.Item
 	for _, name := range names {
 		var first *item.Item
-		for _, i := range v.list {
+		for _, i := range m.list {
 			if i.GetAccount() == name && ok(i) && (level < 0 || i.Level() == level) && (first == nil || before(i, first)) {
 				first = i
 			}
 		}
-		if first != nil && (best == nil || v.ahead(first, best)) {
+		if first != nil && (best == nil || m.grantedBefore(first, best)) {
 			best = first
 		}
 	}
 	if best != nil {
-		v.take(best)
-		v.charge(best)
+		m.take(best)
+		m.charge(best)
 	}
 	return best
 }
 
-func (v *naive) charge(i *item.Item) {
+func (m *model) charge(i *item.Item) {
 	a := i.GetAccount()
-	v.used[a] = max(v.used[a], v.clock-16*burst) + i.Work/weight(a)
+	m.used[a] = max(m.used[a], m.virtualTime-16*burst) + i.Work/weight(a)
 	if i.Level() == 0 {
-		v.urgent[a] = max(v.urgent[a], v.clock) + i.Work/weight(a)
+		m.urgent[a] = max(m.urgent[a], m.virtualTime) + i.Work/weight(a)
 	}
 	weights := 0.0
 	for _, name := range names {
-		if name == a || v.count(name, -1) > 0 {
+		if name == a || m.count(name, -1) > 0 {
 			weights += weight(name)
 		}
 	}
-	v.clock += i.Work / weights
+	m.virtualTime += i.Work / weights
 	if i.Level() == bulk {
-		v.saved[bulk] = max(v.saved[bulk]-i.Work, 0)
-	} else if v.count("", bulk) > 0 {
-		v.saved[bulk] = min(v.saved[bulk]+shares[bulk]*i.Work, 2*v.longest[bulk])
+		m.credit[bulk] = max(m.credit[bulk]-i.Work, 0)
+	} else if m.count("", bulk) > 0 {
+		m.credit[bulk] = min(m.credit[bulk]+shares[bulk]*i.Work, 2*m.maxWork[bulk])
 	}
 }
 
-// shed takes out the newest item of the account's lowest tier.
-func (v *naive) shed(account string) *item.Item {
+// shed removes and returns the newest item of the account's lowest tier.
+func (m *model) shed(account string) *item.Item {
 	var last *item.Item
-	for _, i := range v.list {
+	for _, i := range m.list {
 		if i.GetAccount() == account && (last == nil || i.Level() >= last.Level()) {
 			last = i
 		}
 	}
-	v.take(last)
+	m.take(last)
 	return last
 }
 
-func (v *naive) heaviest() string {
+func (m *model) heaviest() string {
 	best := ""
 	for _, name := range names {
-		n := float64(v.count(name, -1)) / weight(name)
-		if n > 0 && (best == "" || n > float64(v.count(best, -1))/weight(best)) {
+		n := float64(m.count(name, -1)) / weight(name)
+		if n > 0 && (best == "" || n > float64(m.count(best, -1))/weight(best)) {
 			best = name
 		}
 	}
@@ -196,7 +196,7 @@
 	return i
 }
 
-// id makes a missing item comparable.
+// id returns the item's ID, or zero for nil.
 func id(i *item.Item) uint64 {
 	if i == nil {
 		return 0
@@ -204,11 +204,12 @@
 	return i.GetId()
 }
 
-// The heaps, lists and running sums must decide what the plain list decides.
-func TestLikeNaive(t *testing.T) {
+// The heaps, lists and running sums of the queue must make the same decisions as the linear
+// model.
+func TestMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue()
-		v := &naive{used: map[string]float64{}, urgent: map[string]float64{}}
+		v := &model{used: map[string]float64{}, urgent: map[string]float64{}}
 		var last uint64
 		push := func(t *rapid.T) {
 			last++
@@ -219,22 +220,22 @@
 			if v.count(i.GetAccount(), -1) > accountLimit {
 				want = v.shed(i.GetAccount())
 			}
-			must.Eq(t, id(want), id(q.OverAccount(i.GetAccount())))
+			must.Eq(t, id(want), id(q.ShedOverAccountLimit(i.GetAccount())))
 			want = nil
 			if len(v.list) > poolLimit {
 				want = v.shed(v.heaviest())
 			}
-			must.Eq(t, id(want), id(q.OverPool()))
+			must.Eq(t, id(want), id(q.ShedOverPoolLimit()))
 		}
 		next := func(t *rapid.T, longToo bool) {
-			q.Round()
+			q.StartRound()
 			ok := func(i *item.Item) bool { return longToo || !i.Long || i.Level() == 0 }
 			got := q.Next(func(i *item.Item) (bool, bool) { return ok(i), !ok(i) })
 			must.Eq(t, id(v.next(ok)), id(got))
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push":       push,
-			"push again": push, // Twice, so that the limits are met often.
+			"push again": push, // Repeated, so that the limits are reached often.
 			"push more":  push,
 			"next":       func(t *rapid.T) { next(t, true) },
 			"next short": func(t *rapid.T) { next(t, false) },
@@ -252,11 +253,11 @@
 				if _, seen := v.used[name]; seen {
 					v.used[name] += by / weight(name)
 				}
-				q.Correct(name, by)
+				q.AdjustCharge(name, by)
 			},
 			"expire": func(t *rapid.T) {
 				now := epoch.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "s")) * time.Second)
-				for got := q.Expired(now); got != nil; got = q.Expired(now) {
+				for got := q.PopExpired(now); got != nil; got = q.PopExpired(now) {
 					must.False(t, now.Before(got.Latest))
 					must.True(t, slices.Contains(v.list, got))
 					v.take(got)
@@ -270,9 +271,9 @@
 	})
 }
 
-// served runs a queue that is kept full by the account and tier of each
-// arrival, and returns the work granted by account and by tier.
-func served(grants int, arrivals []*item.Item) (map[string]float64, [3]float64) {
+// runBacklogged runs a queue in which each granted ticket is replaced by one of the same
+// account, tier and work. It returns the granted work by account and by tier.
+func runBacklogged(grants int, arrivals []*item.Item) (map[string]float64, [3]float64) {
 	q := newQueue()
 	q.MaxWaiting = 0
 	q.Accounts = map[string]acct.Account{"a": {}, "b": {Weight: 3}, "c": {}}
@@ -289,7 +290,7 @@
 	}
 	byAccount, byTier := map[string]float64{}, [3]float64{}
 	for range grants {
-		q.Round()
+		q.StartRound()
 		i := q.Next(func(*item.Item) (bool, bool) { return true, false })
 		byAccount[i.GetAccount()] += i.Work
 		byTier[i.Level()] += i.Work
@@ -302,10 +303,10 @@
 	return &item.Item{Ticket: &wire.Ticket{Account: account, Tier: tier}, Work: work}
 }
 
-// Accounts that always wait get work by their weights, whatever the size of
-// their requests and the tier that they mark them with: one that marks all its
-// work urgent, or sends long requests, takes nothing from the others. The gap
-// stays within what an account may be ahead and one request.
+// Accounts with a constant backlog get work by their weights, whatever the size and the
+// tier of their requests: an account that marks all its work urgent or sends long requests
+// takes nothing from the others. The deviation stays within the burst allowance and one
+// request.
 func TestFairness(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -318,7 +319,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			byAccount, _ := served(20000, c.arrivals)
+			byAccount, _ := runBacklogged(20000, c.arrivals)
 			total := byAccount["a"] + byAccount["b"] + byAccount["c"]
 			for name, share := range map[string]float64{"a": 0.2, "b": 0.6, "c": 0.2} {
 				must.InDelta(t, share*total, byAccount[name], 4*(burst+200), must.Sprint(fmt.Sprint(name, byAccount)))
@@ -327,16 +328,15 @@
 	}
 }
 
-// Bulk work moves at its share while urgent and normal work always waits, and
-// takes no more than that from them.
-func TestBulkMoves(t *testing.T) {
-	_, byTier := served(20000, []*item.Item{arrival("a", 0, 2), arrival("a", 1, 2), arrival("b", 2, 64), arrival("a", 2, 64)})
+// Bulk work gets its minimum share, and no more, while urgent and normal work always waits.
+func TestBulkShare(t *testing.T) {
+	_, byTier := runBacklogged(20000, []*item.Item{arrival("a", 0, 2), arrival("a", 1, 2), arrival("b", 2, 64), arrival("a", 2, 64)})
 	total := byTier[0] + byTier[1] + byTier[2]
 	must.Greater(t, 0.08*total, byTier[2])
 }
 
-// Under overload an alert is never shed while lower work of its account waits,
-// and of the lowest tier the newest goes first.
+// Under overload, an urgent ticket is never shed while lower work of its account waits, and
+// the newest ticket of the lowest tier is shed first.
 func TestShedOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue()
@@ -345,7 +345,7 @@
 			i := drawItem(t, id+1)
 			q.Push(i)
 			kept[i.GetId()] = i
-			for _, shed := range []*item.Item{q.OverAccount(i.GetAccount()), q.OverPool()} {
+			for _, shed := range []*item.Item{q.ShedOverAccountLimit(i.GetAccount()), q.ShedOverPoolLimit()} {
 				if shed == nil {
 					continue
 				}
--- a/core/queue/shed.go
+++ b/core/queue/shed.go
@@ -7,36 +7,37 @@
 	"azurelane/core/tier"
 )
 
-// OverAccount takes out the ticket that goes when the account has more waiting
-// than it may, or returns nil: the newest one of its lowest tier. So an alert
-// is never shed while lower work of its account is kept waiting.
-func (q *Queue) OverAccount(name string) *item.Item {
+// ShedOverAccountLimit removes and returns the ticket to shed if the account has more
+// tickets waiting than it may, or returns nil. It takes the newest ticket of the account's
+// lowest tier, so that an urgent ticket is never shed while lower work of its account
+// waits.
+func (q *Queue) ShedOverAccountLimit(name string) *item.Item {
 	a := q.accounts[name]
-	if a == nil || a.n <= q.account(name).MaxWaiting {
+	if a == nil || a.total <= q.accountConfig(name).MaxWaiting {
 		return nil
 	}
 	return q.shed(a)
 }
 
-// OverPool takes out the ticket that goes when the pool has more waiting than
-// it may, or returns nil. It is taken from the account that waits with the
-// most tickets for its weight, not from the one that came last, so that a
-// flood of one account sheds that account's own work.
-func (q *Queue) OverPool() *item.Item {
+// ShedOverPoolLimit removes and returns the ticket to shed if the pool has more tickets
+// waiting than it may, or returns nil. It takes the ticket from the account with the most
+// waiting tickets for its weight, not from the last one to submit, so that a flood from one
+// account sheds that account's own work.
+func (q *Queue) ShedOverPoolLimit() *item.Item {
 	if q.MaxWaiting == 0 || len(q.tickets) <= q.MaxWaiting {
 		return nil
 	}
 	var most *account
 	for _, a := range q.active {
-		if most == nil || heavier(a, most) {
+		if most == nil || moreLoaded(a, most) {
 			most = a
 		}
 	}
 	return q.shed(most)
 }
 
-func heavier(a, b *account) bool {
-	x, y := float64(a.n)/a.weight, float64(b.n)/b.weight
+func moreLoaded(a, b *account) bool {
+	x, y := float64(a.total)/a.weight, float64(b.total)/b.weight
 	if x != y {
 		return x > y
 	}
@@ -53,14 +54,14 @@
 	return nil
 }
 
-// Lower reports whether the account has waiting work of a lower tier.
-func (q *Queue) Lower(name string, level int) bool {
+// HasLower reports whether work of a lower tier of the account waits.
+func (q *Queue) HasLower(name string, level int) bool {
 	a := q.accounts[name]
 	return a != nil && slices.ContainsFunc(a.waiting[level+1:], func(n int) bool { return n > 0 })
 }
 
-// Newest returns the newest waiting ticket of each account and tier, of which
-// a change of the pool's speed tells first that they will be late.
+// Newest returns the newest waiting ticket of each account and tier. When the pool slows
+// down, these are the first that are predicted to be late.
 func (q *Queue) Newest() []*item.Item {
 	var list []*item.Item
 	for _, a := range q.active {
