--- a/core/kernel/example_test.go
+++ b/core/kernel/example_test.go
@@ -70,7 +70,7 @@
 	// running at entry-1
 }
 
-// The page for those who embed shows the examples as they run here.
+// The page about embedding must show the examples exactly as they run here.
 func TestPage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/EMBEDDING.md")
 	must.NoError(t, err)
--- a/core/least/least.go
+++ b/core/least/least.go
@@ -1,32 +1,32 @@
-// Package least is the usual scheduling policy of load balancers, kept as a
-// baseline: each entry sends every request on at once to the upstream that last
-// reported the least load. The reports are late, so a burst herds onto one.
+// Package least is the least-load policy of common load balancers, kept as a baseline: each
+// entry dispatches every request at once to the upstream that last reported the least load.
+// The reports are late, so a burst of requests goes to the same upstream.
 package least
 
 import (
 	"time"
 
+	"azurelane/core/direct"
 	"azurelane/core/kernel"
-	"azurelane/core/local"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
 )
 
-// Name is the policy's name in the configuration.
+// Name selects the policy in the configuration.
 const Name = "least"
 
 func init() { kernel.Register(Name, true, func() kernel.Scheduler { return &Least{} }) }
 
-// Least is the policy's state for one pool.
+// Least is the state of the policy for one pool.
 type Least struct {
-	local.Local
+	direct.Base
 	next int
 }
 
-// Submit grants the live upstream with the least reported load for its size.
-// Equal ones take turns.
+// Submit grants a slot on the live upstream with the least reported load relative to its
+// limit. Upstreams with equal load take turns.
 func (l *Least) Submit(now time.Time, t *wire.Ticket) []*wire.Decision {
-	return l.Choose(now, t, func(live []*upstr.Upstream) *upstr.Upstream {
+	return l.Grant(now, t, func(live []*upstr.Upstream) *upstr.Upstream {
 		l.next++
 		best := live[l.next%len(live)]
 		for i := range live {
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -1,8 +1,7 @@
-// Package limit learns from an upstream's own runs how fast it is, how much it
-// takes at once, and whether it may be trusted with work.
+// Package limit learns from an upstream's own runs how fast it is, how many requests it
+// runs at once, and whether it is healthy.
 //
-// Only what came back is believed. Load reports are late, may be lost, and may
-// be wrong.
+// Only observed runs count. Load reports are late, may be lost, and may be wrong.
 package limit
 
 import (
@@ -13,195 +12,199 @@
 	"azurelane/core/slope"
 )
 
-// Limit is what is learnt of one upstream. The zero value knows nothing and
-// trusts the announced limit.
-type Limit struct {
-	trial int     // Slots allowed while it comes back; zero when in service.
-	most  float64 // Requests at once; zero for as many as announced.
-
-	first slope.Slope // Seconds to the first token, by prompt tokens.
-	rest  slope.Slope // Seconds from the first to the last token, by answer tokens.
-	whole plane.Plane // Seconds of answers in one piece, which don't show the two apart.
-	miss  float64     // Mean part by which the expectation was missed.
-	unit  float64     // Least seconds to the first token for each prompt token.
-	wait  float64     // Part of a run that is spent in the upstream's own queue.
-	calm  int         // Runs since most was last lowered.
-
-	good   time.Time     // Last success.
-	fails  int           // Failures in a row.
-	who    string        // Client account of the last failure.
-	others bool          // Several client accounts are among the failures in a row.
-	until  time.Time     // Out of service until then.
-	pause  time.Duration // Length of the last outage.
+// Profile is what has been learned about one upstream. The zero value knows nothing and
+// trusts the announced concurrency limit.
+type Profile struct {
+	trialSlots int     // Slots allowed while it recovers; zero when in full service.
+	maxRunning float64 // Learned concurrency limit; zero for the announced one.
+
+	firstToken slope.Slope // Seconds to the first token, by prompt tokens.
+	decode     slope.Slope // Seconds from the first to the last token, by answer tokens.
+	// Seconds of runs with an answer in one piece, where prefill and decode can't be told
+	// apart.
+	wholeRun       plane.Plane
+	meanError      float64 // Mean relative error of RunTime.
+	minPrefill     float64 // Least seconds to the first token for each prompt token.
+	queuedFraction float64 // Mean fraction of a run spent in the upstream's own queue.
+	runsSinceCut   int     // Runs since maxRunning was last lowered.
+
+	lastSuccess     time.Time
+	failures        int           // Consecutive failures.
+	lastAccount     string        // Client account of the last failure.
+	severalAccounts bool          // The consecutive failures come from several client accounts.
+	outageEnd       time.Time     // Out of service until then.
+	outage          time.Duration // Length of the last outage.
 }
 
 const (
-	gain        = 0.1 // Of running means.
-	firstOffset = 64  // Tokens added to each prompt for what every request costs.
-	wholeOffset = 8   // The same for answers in one piece, whose fit takes no offset of its own.
-	cachedPart  = 0.1 // Of a prompt that is worked off when its prefix is cached.
-
-	// An upstream with more than longWait of each run in its own queue is given
-	// less, one with less than shortWait more.
-	longWait  = 0.5
-	shortWait = 0.25
-	lower     = 0.9
-	// forget raises the least time per token with each run, or an upstream that
-	// got slower for good would seem crowded.
-	forget = 1.001
-
-	failsSeveral = 3 // Failures in a row of several accounts that take an upstream out.
-	failsOne     = 6 // Failures in a row of one account that do.
-	firstPause   = time.Second
-	longestPause = 30 * time.Second
-
-	goodKeep = 5 * time.Second // How long a success speaks for an upstream.
+	ewmaGain         = 0.1 // Weight of a new value in the running means.
+	firstTokenOffset = 64  // Tokens added to each prompt for the fixed cost of a request.
+	wholeRunOffset   = 8   // The same for answers in one piece, whose fit has no constant term.
+	cachedFraction   = 0.1 // Part of a prompt that is processed although its prefix is cached.
+
+	// An upstream that spends more than highQueued of each run in its own queue gets fewer
+	// requests, one that spends less than lowQueued gets more.
+	highQueued = 0.5
+	lowQueued  = 0.25
+	cutFactor  = 0.9
+	// minPrefillGrowth raises minPrefill with each run. Otherwise an upstream that became
+	// slower for good would seem to queue requests.
+	minPrefillGrowth = 1.001
+
+	maxFailuresSeveral = 3 // Consecutive failures of several accounts that start an outage.
+	maxFailuresOne     = 6 // Consecutive failures of one account that start an outage.
+	minOutage          = time.Second
+	maxOutage          = 30 * time.Second
+
+	successWindow = 5 * time.Second // How long a success is evidence of a healthy upstream.
 )
 
-// Cost is a run's size in work units: answer tokens, and prompt tokens at the
-// part of an answer token's time that batching engines need for them.
+// Cost returns the size of a run in work units: one for each answer token, and for each
+// prompt token the part of an answer token's time that batching engines need for it.
 func Cost(prompt, answer int64) float64 { return 1 + float64(prompt)/16 + float64(answer) }
 
-// Known reports whether a run has come back.
-func (l *Limit) Known() bool { return l.first.Known() || l.whole.Known() }
+// Known reports whether a run has been observed.
+func (p *Profile) Known() bool { return p.firstToken.Known() || p.wholeRun.Known() }
 
-// Expect is the time that a run takes from dispatch to its end, at the batch
-// sizes of late. It is zero while nothing is known.
-func (l *Limit) Expect(prompt, answer int64, cached bool) time.Duration {
-	x, y := worked(prompt, cached), float64(answer)
-	s := l.first.At(x) + l.rest.At(y)
-	if !l.first.Known() {
-		s = l.whole.At(x+wholeOffset, y)
+// RunTime returns the expected time of a run from dispatch to its end, at recent batch
+// sizes. It is zero while nothing is known.
+func (p *Profile) RunTime(prompt, answer int64, cached bool) time.Duration {
+	x, y := prefillTokens(prompt, cached), float64(answer)
+	s := p.firstToken.At(x) + p.decode.At(y)
+	if !p.firstToken.Known() {
+		s = p.wholeRun.At(x+wholeRunOffset, y)
 	}
 	return time.Duration(s * float64(time.Second))
 }
 
-// Miss is the mean part by which Expect was missed, at most 1.
-func (l *Limit) Miss() float64 { return min(l.miss, 1) }
+// MeanError returns the mean relative error of RunTime, at most 1.
+func (p *Profile) MeanError() float64 { return min(p.meanError, 1) }
 
-func worked(prompt int64, cached bool) float64 {
+func prefillTokens(prompt int64, cached bool) float64 {
 	if cached {
-		return float64(prompt) * cachedPart
+		return float64(prompt) * cachedFraction
 	}
 	return float64(prompt)
 }
 
-// Done learns from a whole run that took first to its first token and total to
-// its last one, and brings an upstream on trial back by doubling what it gets.
-// First is zero when it isn't known, and equals total for an answer in one piece.
-func (l *Limit) Done(now time.Time, prompt, answer int64, cached bool, first, total time.Duration, running, announced int) {
-	if want := l.Expect(prompt, answer, cached).Seconds(); want > 0 {
-		l.miss += gain * (math.Abs(total.Seconds()/want-1) - l.miss)
+// RecordSuccess learns from a complete run that took first until its first token and total
+// until its last one. first is zero if unknown, and equals total for an answer in one
+// piece. running is the number of requests on the upstream, this one included, and
+// announced is its announced limit. If the upstream is on trial, its slots double.
+func (p *Profile) RecordSuccess(now time.Time, prompt, answer int64, cached bool, first, total time.Duration, running, announced int) {
+	if expected := p.RunTime(prompt, answer, cached).Seconds(); expected > 0 {
+		p.meanError += ewmaGain * (math.Abs(total.Seconds()/expected-1) - p.meanError)
 	}
-	x := worked(prompt, cached)
+	x := prefillTokens(prompt, cached)
 	if first > 0 && first < total*9/10 {
-		l.first.Add(x, first.Seconds())
-		l.rest.Add(float64(answer), (total - first).Seconds())
-		l.crowd(x, first, total, running, announced)
+		p.firstToken.Add(x, first.Seconds())
+		p.decode.Add(float64(answer), (total - first).Seconds())
+		p.adjustConcurrency(x, first, total, running, announced)
 	} else {
-		l.whole.Add(x+wholeOffset, float64(answer), total.Seconds())
-		if l.first.Known() {
-			l.rest.Add(float64(answer), max(total.Seconds()-l.first.At(x), 0))
+		p.wholeRun.Add(x+wholeRunOffset, float64(answer), total.Seconds())
+		if p.firstToken.Known() {
+			p.decode.Add(float64(answer), max(total.Seconds()-p.firstToken.At(x), 0))
 		}
 	}
-	l.good = now
-	l.fails, l.others, l.until, l.pause = 0, false, time.Time{}, 0
-	if l.trial > 0 {
-		// Doubling, so that a pool's whole backlog doesn't fall on an upstream
-		// in the moment of its return and breaks it again.
-		l.trial *= 2
-		if l.trial >= l.max(announced) {
-			l.trial = 0
+	p.lastSuccess = now
+	p.failures, p.severalAccounts, p.outageEnd, p.outage = 0, false, time.Time{}, 0
+	if p.trialSlots > 0 {
+		// Doubling keeps a pool's whole backlog from reaching a recovering upstream at once
+		// and breaking it again.
+		p.trialSlots *= 2
+		if p.trialSlots >= p.concurrencyLimit(announced) {
+			p.trialSlots = 0
 		}
 	}
 }
 
-// crowd lowers the limit of an upstream that queues by itself, because it
-// announced more than it runs, and raises it again when its queue is gone. In
-// its own queue urgent work can't overtake, so work is better kept here.
-func (l *Limit) crowd(prompt float64, first, total time.Duration, running, announced int) {
-	per := first.Seconds() / (prompt + firstOffset)
-	if l.unit == 0 || per < l.unit {
-		l.unit = per
+// adjustConcurrency lowers the limit of an upstream that queues requests because it
+// announced more than it runs at once, and raises it again when its queue is gone. Urgent
+// work can't overtake in the upstream's queue, so work is better queued here.
+func (p *Profile) adjustConcurrency(prompt float64, first, total time.Duration, running, announced int) {
+	perToken := first.Seconds() / (prompt + firstTokenOffset)
+	if p.minPrefill == 0 || perToken < p.minPrefill {
+		p.minPrefill = perToken
 	}
-	l.unit *= forget
-	queued := max(first.Seconds()-l.unit*(prompt+firstOffset), 0) / total.Seconds()
-	l.wait += gain * (queued - l.wait)
-	l.calm++
-	most := l.max(announced)
+	p.minPrefill *= minPrefillGrowth
+	queued := max(first.Seconds()-p.minPrefill*(prompt+firstTokenOffset), 0) / total.Seconds()
+	p.queuedFraction += ewmaGain * (queued - p.queuedFraction)
+	p.runsSinceCut++
+	limit := p.concurrencyLimit(announced)
 	switch {
-	case l.wait > longWait && running >= most && l.calm > most:
-		l.most = max(float64(most)*lower, 1)
-		l.calm = 0
-	case l.wait < shortWait && l.most > 0 && running >= most:
-		l.most += 1 / l.most
+	case p.queuedFraction > highQueued && running >= limit && p.runsSinceCut > limit:
+		p.maxRunning = max(float64(limit)*cutFactor, 1)
+		p.runsSinceCut = 0
+	case p.queuedFraction < lowQueued && p.maxRunning > 0 && running >= limit:
+		p.maxRunning += 1 / p.maxRunning
 	}
-	if int(l.most) >= announced {
-		l.most = 0
+	if int(p.maxRunning) >= announced {
+		p.maxRunning = 0
 	}
 }
 
-func (l *Limit) max(announced int) int {
-	if l.most == 0 {
+// concurrencyLimit returns the limit in full service: the learned or else the announced one.
+func (p *Profile) concurrencyLimit(announced int) int {
+	if p.maxRunning == 0 {
 		return announced
 	}
-	return max(int(l.most), 1)
+	return max(int(p.maxRunning), 1)
 }
 
-// Most is how many requests the upstream may be given at once: none while it
-// is out of service, few while it comes back.
-func (l *Limit) Most(now time.Time, announced int) int {
-	if l.trial > 0 {
-		if now.Before(l.until) {
+// Concurrency returns how many requests the upstream may be given at once: none while it is
+// out of service, few while it recovers.
+func (p *Profile) Concurrency(now time.Time, announced int) int {
+	if p.trialSlots > 0 {
+		if now.Before(p.outageEnd) {
 			return 0
 		}
-		return min(l.trial, l.max(announced))
+		return min(p.trialSlots, p.concurrencyLimit(announced))
 	}
-	return l.max(announced)
+	return p.concurrencyLimit(announced)
 }
 
-// Trial reports whether the upstream is out of service or on its way back.
-func (l *Limit) Trial() bool { return l.trial > 0 }
+// OnTrial reports whether the upstream is out of service or recovering.
+func (p *Profile) OnTrial() bool { return p.trialSlots > 0 }
 
-// Blameless reports whether the failures in a row all come from one client
-// account and another run succeeded shortly before them. Then the account, and
-// not the upstream, is the likely cause.
-func (l *Limit) Blameless(now time.Time) bool {
-	return !l.others && !l.good.IsZero() && now.Sub(l.good) < goodKeep
+// AccountAtFault reports whether the consecutive failures all come from one client account
+// and another run succeeded shortly before them. Then the account is the likely cause, not
+// the upstream.
+func (p *Profile) AccountAtFault(now time.Time) bool {
+	return !p.severalAccounts && !p.lastSuccess.IsZero() && now.Sub(p.lastSuccess) < successWindow
 }
 
-// Good is the time of the last success.
-func (l *Limit) Good() time.Time { return l.good }
+// LastSuccess returns the time of the last success.
+func (p *Profile) LastSuccess() time.Time { return p.lastSuccess }
 
-// Fail counts a run that failed. One account's failures weigh less than those
-// of several, so that an account whose requests break engines doesn't take
-// them from the others. The empty account stands for a failed connect, which
-// is no account's fault.
-func (l *Limit) Fail(now time.Time, account string) {
-	if account == "" || (l.fails > 0 && account != l.who) {
-		l.others = true
+// RecordFailure counts a failed run. Failures of one account weigh less than those of
+// several, so that an account whose requests break engines doesn't take the engines from
+// the others. The empty account stands for a failed connection, which is no account's
+// fault.
+func (p *Profile) RecordFailure(now time.Time, account string) {
+	if account == "" || (p.failures > 0 && account != p.lastAccount) {
+		p.severalAccounts = true
 	}
-	l.who = account
-	l.fails++
-	if l.trial > 0 || (l.others && l.fails >= failsSeveral) || l.fails >= failsOne {
-		l.Out(now)
+	p.lastAccount = account
+	p.failures++
+	if p.trialSlots > 0 || (p.severalAccounts && p.failures >= maxFailuresSeveral) || p.failures >= maxFailuresOne {
+		p.StartOutage(now)
 	}
 }
 
-// Out takes the upstream out of service for a while that doubles each time.
-// Then one run at a time tries it. An outage that is under way isn't made
-// longer by the failures of what was dispatched before it.
-func (l *Limit) Out(now time.Time) {
-	if l.trial > 0 && now.Before(l.until) {
+// StartOutage takes the upstream out of service for a time that doubles with each outage.
+// After that time, one run at a time tries the upstream. Failures of runs that were
+// dispatched before an outage don't extend it.
+func (p *Profile) StartOutage(now time.Time) {
+	if p.trialSlots > 0 && now.Before(p.outageEnd) {
 		return
 	}
-	l.pause = min(max(2*l.pause, firstPause), longestPause)
-	l.until = now.Add(l.pause)
-	l.trial = 1
+	p.outage = min(max(2*p.outage, minOutage), maxOutage)
+	p.outageEnd = now.Add(p.outage)
+	p.trialSlots = 1
 }
 
-// Return ends an outage early, for an upstream that was started anew. It is
-// still given one run at first.
-func (l *Limit) Return() {
-	l.fails, l.others, l.until = 0, false, time.Time{}
+// EndOutage ends an outage early because the upstream has restarted. The upstream still
+// gets one run at first.
+func (p *Profile) EndOutage() {
+	p.failures, p.severalAccounts, p.outageEnd = 0, false, time.Time{}
 }
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -1,6 +1,5 @@
-// Package place chooses the upstream for a ticket: the one that is expected to
-// finish it first, with a preference for the upstream that has probably cached
-// its prefix.
+// Package place chooses the upstream for a ticket: the one that is expected to finish it
+// first, with a preference for an upstream that has probably cached its prefix.
 package place
 
 import (
@@ -12,37 +11,43 @@
 	"azurelane/core/wire"
 )
 
-// Place holds the weights of one preset. The zero value prefers no cache.
-type Place struct {
-	// Detour is the part by which the expected finish at a prefix's home may be
-	// later than at the best upstream. It bounds what a wrong guess about a
-	// cache costs.
-	Detour float64
-	// Margin scales the distance that the expected finish keeps from a
-	// deadline, in mean misses of the expectation. A larger one refuses more
-	// and wastes fewer prompts on answers that come too late.
-	Margin float64
-	// Usual is the time of a usual run, taken for upstreams that are unknown.
-	Usual time.Duration
-	// Alone says that no upstream of the pool is in full service, so that an
-	// alert may go to one that is being tried.
-	Alone bool
+// Picker chooses upstreams by the weights of one preset. The zero value does not prefer
+// cached prefixes.
+type Picker struct {
+	// MaxDetour is the fraction by which the expected finish on the upstream preferred for
+	// its cache may be later than on the best upstream. It bounds the cost of a wrong
+	// assumption about a cache.
+	MaxDetour float64
+	// DeadlineMargin is the margin added to a run's expected time before it is compared
+	// with a deadline, in mean errors of the estimate. A larger margin refuses more
+	// requests and wastes fewer prompts on answers that come too late.
+	DeadlineMargin float64
+	// TypicalRun is the run time of a typical request, assumed for upstreams of unknown
+	// speed.
+	TypicalRun time.Duration
+	// AllOnTrial is set if no upstream of the pool is in full service, so that an urgent
+	// ticket may go to an upstream on trial.
+	AllOnTrial bool
 }
 
 const (
-	// reserve is the part of an upstream's limit that long work leaves free.
-	reserve = 8
-	// bound is how much fuller than the mean a prefix's home may be.
-	bound = 1.25
-	// shortPrompt is the number of tokens under which a cached prefix saves
+	// reserveDivisor determines how many slots of an upstream long work leaves free: one in
+	// reserveDivisor, and at least one.
+	reserveDivisor = 8
+	// maxHomeFill is how many times fuller than the mean the upstream preferred for its
+	// cache may be.
+	maxHomeFill = 1.25
+	// minAffinityPrompt is the number of prompt tokens below which a cached prefix saves
 	// less than the detour costs.
-	shortPrompt = 64
-	// batchCost is the part of a run by which a full batch is taken to slow it.
-	batchCost = 0.5
+	minAffinityPrompt = 64
+	// fullBatchCost is the assumed slowdown of a run in a full batch, as a fraction of its
+	// run time.
+	fullBatchCost = 0.5
 )
 
-// Open returns the upstreams with room for one more request.
-func Open(now time.Time, all, into []*upstr.Upstream) []*upstr.Upstream {
+// Available returns the upstreams in all that have room for one more request. It reuses the
+// memory of into.
+func Available(now time.Time, all, into []*upstr.Upstream) []*upstr.Upstream {
 	into = into[:0]
 	for _, u := range all {
 		if u.Room(now) {
@@ -52,127 +57,128 @@
 	return into
 }
 
-// Pick returns the slot to grant for the item on the best of the open
-// upstreams. It returns nil with full set when no open upstream has room for an
-// item like it, and nil without full when only this item can't go there. Short
-// says that short work is about; only, unless empty, names the one upstream
+// Pick returns the slot to grant for the item on the best of the available upstreams. It
+// returns nil and full if none of them has room for an item of the same model and length,
+// and nil without full if only this item can't be placed. With expectShort, long work
+// leaves slots free for short work. If only is not empty, it names the one upstream that is
 // allowed.
-func (p Place) Pick(now time.Time, open []*upstr.Upstream, i *item.Item, short bool, only string) (s *slot.Slot, full bool) {
-	var best, near choice
+func (p Picker) Pick(now time.Time, available []*upstr.Upstream, i *item.Item, expectShort bool, only string) (s *slot.Slot, full bool) {
+	var best, preferred candidate
 	var fill float64
 	full = true
-	for _, u := range open {
-		if !room(now, u, i, short) {
+	for _, u := range available {
+		if !hasRoom(now, u, i, expectShort) {
 			continue
 		}
 		full = false
-		if !p.takes(u, i, only) {
+		if !p.mayRun(u, i, only) {
 			continue
 		}
-		c := p.weigh(now, u, i)
+		c := p.evaluate(now, u, i)
 		if c.late {
 			continue
 		}
-		fill += filled(now, u)
-		if best.up == nil || c.at < best.at {
+		fill += fillRatio(now, u)
+		if best.up == nil || c.finish < best.finish {
 			best = c
 		}
-		if near.up == nil || c.nearer(near) {
-			near = c
+		if preferred.up == nil || c.betterAffinity(preferred) {
+			preferred = c
 		}
 	}
 	if best.up == nil {
 		return nil, full
 	}
-	mean := fill / float64(len(open))
-	if p.worthwhile(now, i, near, best, mean) {
-		best = near
+	meanFill := fill / float64(len(available))
+	if p.worthDetour(now, i, preferred, best, meanFill) {
+		best = preferred
 	}
 	return &slot.Slot{
-		Up: best.up, Ticket: i.Ticket, Work: i.Work, Long: i.Long && i.Level() > 0, Cached: best.cached, Expect: best.expect,
+		Up: best.up, Ticket: i.Ticket, Work: i.Work, Long: i.Long && i.Level() > 0, Cached: best.cached, Expect: best.runTime,
 	}, false
 }
 
-// choice is one upstream weighed for one item.
-type choice struct {
-	up     *upstr.Upstream
-	expect time.Duration // Of the run; zero when not known.
-	at     time.Duration // Expected finish from now, with the batch filling up.
-	cached bool
-	late   bool // It would miss the deadline.
-	weight uint64
+// candidate is the evaluation of one upstream for one item.
+type candidate struct {
+	up         *upstr.Upstream
+	runTime    time.Duration // Expected; zero while unknown.
+	finish     time.Duration // Expected finish from now, slowed down by the current batch.
+	cached     bool
+	late       bool // The run would miss the deadline.
+	hashWeight uint64
 }
 
-// nearer orders choices by the cache: one that has the prefix, then the
-// prefix's home by rendezvous hash, where it will be when it is asked again.
-func (c choice) nearer(d choice) bool {
+// betterAffinity reports whether c is preferred to d for its cache. Upstreams that have the
+// prefix come first, ordered by their expected finish. Then comes the prefix's home by
+// rendezvous hash, to which later requests with the same prefix will go.
+func (c candidate) betterAffinity(d candidate) bool {
 	switch {
 	case c.cached != d.cached:
 		return c.cached
 	case c.cached:
-		return c.at < d.at
+		return c.finish < d.finish
 	}
-	return c.weight > d.weight
+	return c.hashWeight > d.hashWeight
 }
 
-func (p Place) weigh(now time.Time, u *upstr.Upstream, i *item.Item) choice {
-	c := choice{up: u, weight: u.Weight(i.GetPrefixHash())}
+func (p Picker) evaluate(now time.Time, u *upstr.Upstream, i *item.Item) candidate {
+	c := candidate{up: u, hashWeight: u.Weight(i.GetPrefixHash())}
 	c.cached = i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash())
-	c.expect = u.Learnt.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
-	run := c.expect
+	c.runTime = u.Learnt.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
+	run := c.runTime
 	if !u.Learnt.Known() {
-		run = p.Usual
+		run = p.TypicalRun
 	}
-	c.at = run + time.Duration(float64(run)*batchCost*filled(now, u))
+	c.finish = run + time.Duration(float64(run)*fullBatchCost*fillRatio(now, u))
 	if i.Deadline.IsZero() || !u.Learnt.Known() {
 		return c
 	}
-	c.late = now.Add(p.Safe(u, i.Ticket)).After(i.Deadline)
+	c.late = now.Add(p.SafeRunTime(u, i.Ticket)).After(i.Deadline)
 	return c
 }
 
-// Safe is the time that the ticket's run surely takes on the upstream, for the
-// judgement of deadlines: without the belief in a cache, which may be wrong,
-// and with the preset's margin. It is zero while nothing is known.
-func (p Place) Safe(u *upstr.Upstream, t *wire.Ticket) time.Duration {
-	run := u.Learnt.Expect(t.GetPromptTokens(), t.GetAnswerTokens(), false)
-	return time.Duration(float64(run) * (1 + p.Margin*u.Learnt.Miss()))
+// SafeRunTime returns a conservative estimate of the ticket's run time on the upstream, for
+// comparison with deadlines. It includes the preset's margin and does not count on a cached
+// prefix, which may be gone. It is zero while the speed is unknown.
+func (p Picker) SafeRunTime(u *upstr.Upstream, t *wire.Ticket) time.Duration {
+	run := u.Learnt.RunTime(t.GetPromptTokens(), t.GetAnswerTokens(), false)
+	return time.Duration(float64(run) * (1 + p.DeadlineMargin*u.Learnt.MeanError()))
 }
 
-// worthwhile bounds what the cache may cost: near must not be much later than
-// best, nor much fuller than the mean.
-func (p Place) worthwhile(now time.Time, i *item.Item, near, best choice, mean float64) bool {
-	return i.GetPrefixHash() != 0 && i.GetPromptTokens() >= shortPrompt &&
-		near.at <= best.at+time.Duration(p.Detour*float64(best.at)) &&
-		filled(now, near.up) <= bound*mean+1/float64(max(near.up.Most(now), 1))
+// worthDetour bounds the cost of cache affinity: preferred must not finish much later than
+// best, nor be much fuller than the mean.
+func (p Picker) worthDetour(now time.Time, i *item.Item, preferred, best candidate, meanFill float64) bool {
+	return i.GetPrefixHash() != 0 && i.GetPromptTokens() >= minAffinityPrompt &&
+		preferred.finish <= best.finish+time.Duration(p.MaxDetour*float64(best.finish)) &&
+		fillRatio(now, preferred.up) <= maxHomeFill*meanFill+1/float64(max(preferred.up.Most(now), 1))
 }
 
-// room reports whether an open upstream has room for items like this one.
-// Where short work is about, long work leaves a part of each upstream free:
-// with all places taken by long requests, an alert would wait for the end of
-// one of them.
-func room(now time.Time, u *upstr.Upstream, i *item.Item, short bool) bool {
+// hasRoom reports whether an available upstream has room for an item of this model and
+// length. If short work is expected, long work leaves some slots of each upstream free:
+// with all slots taken by long requests, an urgent one would wait until one of them ends.
+func hasRoom(now time.Time, u *upstr.Upstream, i *item.Item, expectShort bool) bool {
 	if !u.HasModel(i.GetModel()) {
 		return false
 	}
-	if most := u.Most(now); i.Long && i.Level() > 0 && short && most > 1 {
-		return u.Long < most-max(most/reserve, 1)
+	if limit := u.Most(now); i.Long && i.Level() > 0 && expectShort && limit > 1 {
+		return u.Long < limit-max(limit/reserveDivisor, 1)
 	}
 	return true
 }
 
-// takes reports whether the upstream may run this very item.
-func (p Place) takes(u *upstr.Upstream, i *item.Item, only string) bool {
+// mayRun reports whether the upstream may run this particular item.
+func (p Picker) mayRun(u *upstr.Upstream, i *item.Item, only string) bool {
 	if (only != "" && u.GetUpstream() != only) || !u.Serves(i.Ticket) {
 		return false
 	}
 	if n := u.GetMaxTokens(); n > 0 && u.Running > 0 && u.Tokens+i.GetPromptTokens()+i.GetAnswerTokens() > n {
 		return false
 	}
-	// An upstream that comes back isn't tried with an alert while there is another.
-	return !u.Learnt.Trial() || i.Level() > 0 || p.Alone
+	// An urgent ticket is not used to try a recovering upstream while another one is in
+	// service.
+	return !u.Learnt.OnTrial() || i.Level() > 0 || p.AllOnTrial
 }
 
-func filled(now time.Time, u *upstr.Upstream) float64 {
+func fillRatio(now time.Time, u *upstr.Upstream) float64 {
 	return float64(u.Running) / float64(max(u.Most(now), 1))
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -25,23 +25,23 @@
 
 var start = time.Unix(1000, 0)
 
-// newUp returns an upstream that has shown to need slow times a millisecond
-// for each answer token, and a tenth of that for each prompt token.
-func newUp(i int, slow float64, running int64) *upstr.Upstream {
+// newUpstream returns an upstream that has been observed to take slow milliseconds for each
+// answer token and a tenth of that for each prompt token.
+func newUpstream(i int, slow float64, maxRunning int64) *upstr.Upstream {
 	u := upstr.New(fmt.Sprint("up-", i))
-	hear(u)
-	u.Announce.MaxRunning = running
+	announce(u)
+	u.Announce.MaxRunning = maxRunning
 	u.Heard(start, u.Announce)
 	for n := range int64(50) {
 		prompt, answer := 50+n*40, 10+n%7*30
 		first := time.Duration(slow * 100 * float64(prompt) * float64(time.Microsecond))
 		total := first + time.Duration(slow*float64(answer)*float64(time.Millisecond))
-		u.Learnt.Done(start, prompt, answer, false, first, total, 1, int(running))
+		u.Learnt.RecordSuccess(start, prompt, answer, false, first, total, 1, int(maxRunning))
 	}
 	return u
 }
 
-func hear(u *upstr.Upstream, cached ...uint64) {
+func announce(u *upstr.Upstream, cached ...uint64) {
 	u.Heard(start, &wire.Announce{
 		Upstream: u.GetUpstream(), MaxRunning: u.GetMaxRunning(), LeaseUs: time.Minute.Microseconds(), CachedPrefixes: cached,
 	})
@@ -51,26 +51,25 @@
 	return &item.Item{Ticket: &wire.Ticket{PromptTokens: 1000, AnswerTokens: 50, PrefixHash: prefix, Tier: wire.Tier_TIER_NORMAL}}
 }
 
-func preset(t must.T, name string) place.Place {
+func preset(t must.T, name string) place.Picker {
 	p, err := place.Preset(name)
 	must.NoError(t, err)
 	return p
 }
 
-// pick returns the slot for an item that may go anywhere, or nil.
-func pick(p place.Place, now time.Time, ups []*upstr.Upstream, i *item.Item) *slot.Slot {
+// pick returns the slot for an item that may run on any upstream, or nil.
+func pick(p place.Picker, now time.Time, ups []*upstr.Upstream, i *item.Item) *slot.Slot {
 	s, _ := p.Pick(now, ups, i, false, "")
 	return s
 }
 
-// Requests with the same beginning go to the same upstream before any cache
-// event tells of it, and the loss of one upstream moves only the prefixes that
-// had their home there.
-func TestHome(t *testing.T) {
+// Requests with the same prefix go to the same upstream before any cache event reports the
+// prefix. The loss of an upstream moves only the prefixes that had their home there.
+func TestPrefixHome(t *testing.T) {
 	p := preset(t, place.Goodput)
 	var ups []*upstr.Upstream
 	for i := range 8 {
-		ups = append(ups, newUp(i, 1, 16))
+		ups = append(ups, newUpstream(i, 1, 16))
 	}
 	homes := map[uint64]string{}
 	used := map[string]int{}
@@ -87,35 +86,35 @@
 	}
 }
 
-// Events about caches come late and with gaps. An upstream is believed to have
-// what it told or what was sent there of late; a belief shown to be wrong costs
-// one detour, and a full home none.
+// Cache events come late and with gaps. An upstream is assumed to have cached the prefixes
+// that it reported and those that were sent to it recently. A wrong assumption costs one
+// detour, and a home that is too full is not used.
 func TestCacheEvents(t *testing.T) {
 	p := preset(t, place.Prefill)
-	a, b := newUp(0, 1, 4), newUp(1, 1.2, 4)
+	a, b := newUpstream(0, 1, 4), newUpstream(1, 1.2, 4)
 	ups := []*upstr.Upstream{a, b}
 	i := request(5)
-	i.PromptTokens = 100 // So few that the detour, and not the saving, decides.
-	hear(b, 5)
+	i.PromptTokens = 100 // So few that the detour decides, not the saved prefill.
+	announce(b, 5)
 	s := pick(p, start, ups, i)
 	must.Eq(t, "up-1", s.Up.GetUpstream())
 	must.True(t, s.Cached)
 	b.Cache.Wrong(5)
 	must.False(t, pick(p, start, ups, i).Cached)
 	b.Cache.Sent(start, 5)
-	hear(b) // An event with a gap.
+	announce(b) // A cache event without prefix 5.
 	s = pick(p, start, ups, i)
 	must.Eq(t, "up-1", s.Up.GetUpstream())
 	must.True(t, s.Cached)
 	b.Running = 3
-	must.Eq(t, "up-0", pick(p, start, ups, i).Up.GetUpstream(), must.Sprint("too full against the mean"))
+	must.Eq(t, "up-0", pick(p, start, ups, i).Up.GetUpstream(), must.Sprint("fuller than the mean allows"))
 }
 
-// Whatever is believed of caches, the upstream picked has room, serves the
-// request, meets its deadline, and is expected to finish it no later than the
-// detour allows. Without a pick, no open upstream would do.
+// Whatever is assumed about caches, the chosen upstream has room, serves the request, meets
+// its deadline and is expected to finish it no later than the detour allows. If none is
+// chosen, no available upstream qualifies.
 func TestBoundedDetour(t *testing.T) {
-	speeds := []*upstr.Upstream{newUp(0, 1, 4), newUp(1, 1.3, 4), newUp(2, 3, 4), newUp(3, 8, 4)}
+	ups := []*upstr.Upstream{newUpstream(0, 1, 4), newUpstream(1, 1.3, 4), newUpstream(2, 3, 4), newUpstream(3, 8, 4)}
 	rapid.Check(t, func(t *rapid.T) {
 		p := preset(t, rapid.SampledFrom([]string{place.Goodput, place.Prefill}).Draw(t, "preset"))
 		i := request(rapid.Uint64Range(0, 3).Draw(t, "prefix"))
@@ -127,45 +126,45 @@
 		if ms := rapid.IntRange(0, 1000).Draw(t, "deadline"); ms > 0 {
 			i.Deadline = start.Add(time.Duration(ms) * time.Millisecond)
 		}
-		for _, u := range speeds {
+		for _, u := range ups {
 			u.Running = rapid.IntRange(0, 4).Draw(t, "running")
 			u.Long = rapid.IntRange(0, u.Running).Draw(t, "longs")
-			hear(u, rapid.SliceOfN(rapid.Uint64Range(1, 3), 0, 3).Draw(t, "cached")...)
+			announce(u, rapid.SliceOfN(rapid.Uint64Range(1, 3), 0, 3).Draw(t, "cached")...)
 		}
-		open := place.Open(start, speeds, nil)
+		available := place.Available(start, ups, nil)
 		ok := func(u *upstr.Upstream) bool {
 			avoided := len(i.GetAvoid()) > 0 && u.GetUpstream() == "up-0"
 			reserved := i.Long && short && u.Long >= 3
 			return u.Running < 4 && !avoided && !reserved &&
-				(i.Deadline.IsZero() || !start.Add(p.Safe(u, i.Ticket)).After(i.Deadline))
+				(i.Deadline.IsZero() || !start.Add(p.SafeRunTime(u, i.Ticket)).After(i.Deadline))
 		}
-		at := func(u *upstr.Upstream) float64 {
-			run := u.Learnt.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
+		finish := func(u *upstr.Upstream) float64 {
+			run := u.Learnt.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
 			return run.Seconds() * (1 + 0.5*float64(u.Running)/4)
 		}
-		s, _ := p.Pick(start, open, i, short, "")
+		s, _ := p.Pick(start, available, i, short, "")
 		if s != nil {
 			must.True(t, ok(s.Up))
 		}
-		for _, u := range speeds {
+		for _, u := range ups {
 			if ok(u) {
 				must.NotNil(t, s)
-				must.LessEq(t, at(u)*(1+p.Detour)+1e-6, at(s.Up))
+				must.LessEq(t, finish(u)*(1+p.MaxDetour)+1e-6, finish(s.Up))
 			}
 		}
 	})
 }
 
-// An upstream on its way back isn't tried with an alert, unless there is no other.
+// A recovering upstream gets no urgent request unless there is no other upstream.
 func TestTrial(t *testing.T) {
 	p := preset(t, place.Goodput)
-	ups := []*upstr.Upstream{newUp(0, 1, 4)}
-	ups[0].Learnt.Out(start)
+	ups := []*upstr.Upstream{newUpstream(0, 1, 4)}
+	ups[0].Learnt.StartOutage(start)
 	now := start.Add(2 * time.Second)
-	alert := request(0)
-	alert.Tier = wire.Tier_TIER_URGENT
-	must.Nil(t, pick(p, now, ups, alert))
+	urgent := request(0)
+	urgent.Tier = wire.Tier_TIER_URGENT
+	must.Nil(t, pick(p, now, ups, urgent))
 	must.NotNil(t, pick(p, now, ups, request(0)))
-	p.Alone = true
-	must.NotNil(t, pick(p, now, ups, alert))
+	p.AllOnTrial = true
+	must.NotNil(t, pick(p, now, ups, urgent))
 }
--- a/core/place/preset.go
+++ b/core/place/preset.go
@@ -2,34 +2,33 @@
 
 import "fmt"
 
-// presets are the registered weights.
-var presets = map[string]Place{}
+// presets holds the registered weights by name.
+var presets = map[string]Picker{}
 
-// Register adds a preset. It panics on a second one of the same name, which
-// can only be a mistake in the program.
-func Register(name string, p Place) {
+// Register adds a preset. It panics if the name is taken, which is a programming error.
+func Register(name string, p Picker) {
 	if _, ok := presets[name]; ok {
 		panic("place: preset registered twice: " + name)
 	}
 	presets[name] = p
 }
 
-// Preset returns the weights registered under name.
-func Preset(name string) (Place, error) {
+// Preset returns a Picker with the weights registered under name.
+func Preset(name string) (Picker, error) {
 	p, ok := presets[name]
 	if !ok {
-		return Place{}, fmt.Errorf("place: no preset %q", name)
+		return Picker{}, fmt.Errorf("place: no preset %q", name)
 	}
 	return p, nil
 }
 
-// Names of the presets that come with the program.
+// Names of the built-in presets.
 const (
-	Goodput = "goodput" // Answers in time come first.
-	Prefill = "prefill" // Prompt work that isn't done in vain comes first.
+	Goodput = "goodput" // Prefers answers that meet their deadline.
+	Prefill = "prefill" // Prefers to waste no prompt processing.
 )
 
 func init() {
-	Register(Goodput, Place{Detour: 0.1, Margin: 1})
-	Register(Prefill, Place{Detour: 0.5, Margin: 3})
+	Register(Goodput, Picker{MaxDetour: 0.1, DeadlineMargin: 1})
+	Register(Prefill, Picker{MaxDetour: 0.5, DeadlineMargin: 3})
 }
--- a/core/pull/admit.go
+++ b/core/pull/admit.go
@@ -33,7 +33,7 @@
 // the deadline, its run time is returned and the others are not examined.
 func (p *Policy) minRunTime(now time.Time, i *item.Item) time.Duration {
 	if u := p.fastest; u != nil && u.Live(now) && u.Serves(i.Ticket) {
-		if e := p.picker.Safe(u, i.Ticket); !now.Add(e).After(i.Deadline) {
+		if e := p.picker.SafeRunTime(u, i.Ticket); !now.Add(e).After(i.Deadline) {
 			return e
 		}
 	}
@@ -42,7 +42,7 @@
 		if !u.Live(now) || !u.Serves(i.Ticket) {
 			continue
 		}
-		if e := p.picker.Safe(u, i.Ticket); best < 0 || e < best {
+		if e := p.picker.SafeRunTime(u, i.Ticket); best < 0 || e < best {
 			best = e
 		}
 	}
--- a/core/pull/learn.go
+++ b/core/pull/learn.go
@@ -40,7 +40,7 @@
 	case !r.GetDispatched():
 		p.queue.AdjustCharge(t.GetAccount(), -s.Work)
 		if r.GetFailed() {
-			u.Learnt.Fail(now, "")
+			u.Learnt.RecordFailure(now, "")
 		}
 		return
 	case r.GetFailed():
@@ -57,13 +57,13 @@
 	if s.Work > 0 {
 		p.queue.AdjustCharge(t.GetAccount(), limit.Cost(prompt, answer)-s.Work)
 	}
-	p.abuse.Done(t.GetAccount())
+	p.abuse.RecordSuccess(t.GetAccount())
 	first, total := micros(r.GetFirstTokenUs()), micros(r.GetTotalUs())
 	if s.Cached && p.cacheMissed(s, prompt, first) {
 		u.Cache.Wrong(t.GetPrefixHash())
 		s.Cached = false
 	}
-	u.Learnt.Done(now, prompt, answer, s.Cached, first, total, u.Running+1, u.Limit())
+	u.Learnt.RecordSuccess(now, prompt, answer, s.Cached, first, total, u.Running+1, u.Limit())
 }
 
 // recordFailure attributes a failed run to the account or to the upstream. An account whose
@@ -75,21 +75,21 @@
 		return // The caller's own deadline ended the run; checkOverdue detects upstreams that hang.
 	}
 	if _, confined := p.abuse.Confined(now, account); confined {
-		p.abuse.Fail(now, account, s.Up.GetUpstream())
+		p.abuse.RecordFailure(now, account, s.Up.GetUpstream())
 		return
 	}
-	s.Up.Learnt.Fail(now, account)
-	if s.Up.Learnt.Blameless(now) {
-		p.abuse.Fail(now, account, s.Up.GetUpstream())
+	s.Up.Learnt.RecordFailure(now, account)
+	if s.Up.Learnt.AccountAtFault(now) {
+		p.abuse.RecordFailure(now, account, s.Up.GetUpstream())
 	}
 }
 
 // cacheMissed reports whether the time to the first token shows that the prefix was not
 // cached.
 func (p *Policy) cacheMissed(s *slot.Slot, prompt int64, first time.Duration) bool {
-	full := s.Up.Learnt.Expect(prompt, 0, false) - s.Up.Learnt.Expect(0, 0, false)
-	saved := full - (s.Up.Learnt.Expect(prompt, 0, true) - s.Up.Learnt.Expect(0, 0, true))
-	return first > 0 && saved > 0 && first > s.Up.Learnt.Expect(0, 0, true)+time.Duration(maxCachedFraction*float64(full))
+	full := s.Up.Learnt.RunTime(prompt, 0, false) - s.Up.Learnt.RunTime(0, 0, false)
+	saved := full - (s.Up.Learnt.RunTime(prompt, 0, true) - s.Up.Learnt.RunTime(0, 0, true))
+	return first > 0 && saved > 0 && first > s.Up.Learnt.RunTime(0, 0, true)+time.Duration(maxCachedFraction*float64(full))
 }
 
 // checkOverdue returns a function for the sweep that takes an upstream out of service if
@@ -99,8 +99,8 @@
 func (p *Policy) checkOverdue(now time.Time) func(*slot.Slot) {
 	return func(s *slot.Slot) {
 		limit := overdueFactor*s.Expect + overdueGrace
-		if s.Expect > 0 && now.Sub(s.Since) > limit && now.Sub(s.Up.Learnt.Good()) > limit {
-			s.Up.Learnt.Out(now)
+		if s.Expect > 0 && now.Sub(s.Since) > limit && now.Sub(s.Up.Learnt.LastSuccess()) > limit {
+			s.Up.Learnt.StartOutage(now)
 		}
 	}
 }
--- a/core/pull/pull.go
+++ b/core/pull/pull.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"azurelane/core/blame"
+	"azurelane/core/abuse"
 	"azurelane/core/conf"
 	"azurelane/core/item"
 	"azurelane/core/kernel"
@@ -34,12 +34,13 @@
 	table      table.Table
 	slots      slots.Slots
 	queue      queue.Queue
-	picker     place.Place
-	abuse      blame.Blame
+	picker     place.Picker
+	abuse      abuse.Detector
 	workload   workload
 	throughput throughput
 
-	ownerSince     time.Time // Start of this ownership; upstreams announce themselves within startGrace of it.
+	// Start of this ownership. Upstreams announce themselves within startGrace of it.
+	ownerSince     time.Time
 	lastOwnerCall  time.Time // Time of the last message that only owners get.
 	lastSweep      time.Time
 	sweeps         int
@@ -47,7 +48,7 @@
 	rate           float64           // Work units a second of the whole pool; zero while unknown.
 	fastest        *upstr.Upstream   // Fastest upstream for a typical request at the last sweep.
 	available      []*upstr.Upstream // All upstreams with room, and possibly some without.
-	availableStale bool              // Upstreams missing in available may have room.
+	availableStale bool              // Upstreams that are not in available may have room.
 }
 
 const (
@@ -58,9 +59,10 @@
 	// Every entry has an instance of this policy for each pool, which gets messages about
 	// the pool only while the entry owns it.
 	ownerIdle         = 5 * time.Second
-	upstreamRetention = time.Minute            // How long an upstream stays known after its lease ends.
+	upstreamRetention = time.Minute            // After the end of an upstream's lease.
 	sweepInterval     = 200 * time.Millisecond // Between sweeps over all slots and upstreams.
-	runGrace          = 10 * time.Second       // Added to the longest run before a slot without a release is freed.
+	// runGrace is added to the longest run before a slot without a release is freed.
+	runGrace = 10 * time.Second
 	// defaultBulkShare is the share of the work that waiting bulk work gets if the
 	// configuration sets none, so that bulk work progresses under any load.
 	defaultBulkShare = 0.03
@@ -212,7 +214,7 @@
 	if p.availableStale {
 		all, p.availableStale = p.table.All(), false
 	}
-	p.available = place.Open(now, all, p.available)
+	p.available = place.Available(now, all, p.available)
 }
 
 // grant places one ticket. If it can't, it returns nil and reports whether every ticket of
--- a/core/pull/sweep.go
+++ b/core/pull/sweep.go
@@ -37,7 +37,7 @@
 // one for a typical request.
 func (p *Policy) updateCapacity(now time.Time) {
 	p.liveUpstreams, p.rate, p.fastest = 0, 0, nil
-	p.picker.Alone, p.picker.Usual = true, 0
+	p.picker.AllOnTrial, p.picker.TypicalRun = true, 0
 	var quickest time.Duration
 	prompt, answer := int64(p.workload.meanPrompt), int64(p.workload.meanAnswer)
 	for _, u := range p.table.All() {
@@ -45,13 +45,13 @@
 			continue
 		}
 		p.liveUpstreams++
-		p.picker.Alone = p.picker.Alone && u.Learnt.Trial()
-		e := u.Learnt.Expect(prompt, answer, false)
+		p.picker.AllOnTrial = p.picker.AllOnTrial && u.Learnt.OnTrial()
+		e := u.Learnt.RunTime(prompt, answer, false)
 		if e <= 0 {
 			continue
 		}
 		p.rate += float64(u.Most(now)) * limit.Cost(prompt, answer) / e.Seconds()
-		p.picker.Usual = max(p.picker.Usual, e)
+		p.picker.TypicalRun = max(p.picker.TypicalRun, e)
 		if p.fastest == nil || e < quickest {
 			p.fastest, quickest = u, e
 		}
--- a/core/pull/throughput.go
+++ b/core/pull/throughput.go
@@ -11,7 +11,9 @@
 }
 
 const (
-	throughputGain = 0.1 // EWMA weight of one interval. Intervals are as long as sweeps, so the time constant is 2 s.
+	// throughputGain is the EWMA weight of one interval. Intervals are as long as sweeps, so
+	// the time constant is two seconds.
+	throughputGain = 0.1
 	// minBacklogged is how many consecutive intervals work must have waited before the
 	// granted work shows the pool's capacity.
 	minBacklogged = 5
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -79,7 +79,7 @@
 	node struct {
 		*item.Item
 		seq                    uint64
-		deadlineNs             int64 // Unix time of the deadline in ns, for fast comparison; the maximum without a deadline.
+		deadlineNs             int64 // In Unix time, for fast comparison; the maximum for none.
 		flow                   *flow
 		account                *account
 		flowIndex, expiryIndex int // Indexes in the flow's heap and in expiry; -1 for none.
--- a/core/tier/tier.go
+++ b/core/tier/tier.go
@@ -1,4 +1,4 @@
-// Package tier describes a priority tier of requests.
+// Package tier describes the priority tiers of requests.
 package tier
 
 import (
@@ -7,19 +7,20 @@
 	"azurelane/core/wire"
 )
 
-// Tier is one priority tier as operators configure it. The zero value is the
-// most urgent level without a default deadline.
+// Tier is one priority tier as operators configure it. The zero value is the most urgent
+// level without a default deadline.
 type Tier struct {
 	Level    int           `json:"level"`             // 0 urgent, 1 normal, 2 bulk.
-	Deadline time.Duration `json:"deadline,omitzero"` // For requests that name none; zero for none.
-	Share    float64       `json:"share,omitzero"`    // Least part of the work units it gets while it waits, 0 to 1.
+	Deadline time.Duration `json:"deadline,omitzero"` // For requests without one; zero for none.
+	// Minimum share of the work units that the tier gets while its work waits, 0 to 1.
+	Share float64 `json:"share,omitzero"`
 }
 
-// Levels is the number of levels that schedulers tell apart.
+// Levels is the number of priority levels that schedulers distinguish.
 const Levels = 3
 
-// Wire returns the level as the messages carry it. Levels out of range count
-// as bulk, so that a bad value can never overtake urgent work.
+// Wire returns the level as it is encoded in messages. An invalid level counts as bulk, so
+// that it can never overtake urgent work.
 func (t Tier) Wire() wire.Tier {
 	switch t.Level {
 	case 0:
--- a/core/upstr/upstr.go
+++ b/core/upstr/upstr.go
@@ -24,7 +24,7 @@
 	*wire.Announce
 	Long   int           // Running slots of long work.
 	Tokens int64         // Tokens of the requests in the running slots.
-	Learnt limit.Limit   // From its own runs.
+	Learnt limit.Profile // From its own runs.
 	Cache  prefix.Prefix // What it has probably cached.
 	hash   uint64
 	Meter  meter.Meter // Of the limit that it names.
@@ -43,7 +43,7 @@
 // upstream's slots: a decision looks at every upstream.
 func (u *Upstream) Heard(now time.Time, a *wire.Announce) {
 	if u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
-		u.Learnt.Return()
+		u.Learnt.EndOutage()
 		u.Meter.End()
 	}
 	if l := a.GetLimit(); l != nil {
@@ -77,7 +77,7 @@
 
 // Most is the number of requests that it may be given at once, by what was
 // learnt of it.
-func (u *Upstream) Most(now time.Time) int { return u.Learnt.Most(now, u.Limit()) }
+func (u *Upstream) Most(now time.Time) int { return u.Learnt.Concurrency(now, u.Limit()) }
 
 // HasModel reports whether the upstream serves the model. One that names no
 // models serves all, and a plain service's ticket names none.
