--- a/core/direct/direct.go
+++ b/core/direct/direct.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// Withdraw frees the slot of a ticket that was granted at the same moment. Tickets
-// never wait here.
+// Withdraw frees the slot of a ticket that was granted at the same moment. Tickets never
+// wait here.
 func (b *Base) Withdraw(now time.Time, w *wire.Withdraw) {
 	b.slots.Cancel(now, w.GetIncarnation(), w.GetTicket())
 }
--- a/core/pull/learn.go
+++ b/core/pull/learn.go
@@ -67,7 +67,7 @@
 }
 
 // recordFailure attributes a failed run to the account or to the upstream. An account whose
-// requests fail where those of others succeed is confined; from then on its failures don't
+// requests fail where those of others succeed is confined; while it is, its failures don't
 // count against upstreams.
 func (p *Policy) recordFailure(now time.Time, s *slot.Slot, r *wire.Release) {
 	account := s.Ticket.GetAccount()
--- a/core/pull/pull.go
+++ b/core/pull/pull.go
@@ -66,7 +66,7 @@
 	// defaultBulkShare is the share of the work that waiting bulk work gets if the
 	// configuration sets none, so that bulk work progresses under any load.
 	defaultBulkShare = 0.03
-	// burstTime is how much work an account may be ahead of its share, as time of the whole
+	// burstTime is how much work an account may be ahead of its share, in time of the whole
 	// pool.
 	burstTime = time.Second
 )
@@ -89,8 +89,8 @@
 	return append(p.sweep(now), p.assign(now)...)
 }
 
-// noteOwnerCall records a message that only the pool's owner gets. The first one after
-// ownerIdle starts a new ownership.
+// noteOwnerCall records a message that only the pool's owner gets. A message that comes more
+// than ownerIdle after the last one starts a new ownership.
 func (p *Policy) noteOwnerCall(now time.Time) {
 	if now.Sub(p.lastOwnerCall) > ownerIdle {
 		p.ownerSince = now
--- a/core/pull/scheduling_test.go
+++ b/core/pull/scheduling_test.go
@@ -62,9 +62,10 @@
 	must.Eq(t, map[uint64]string{103: "deadline"}, refusals(p.Tick(now.Add(950*ms))), must.Sprint("it can't meet its deadline any more"))
 }
 
-// Account a's urgent ticket is predicted to be late behind other urgent tickets. While bulk
-// work of a waits, the ticket is not refused on the prediction: no lower work of a may be
-// kept in its place. Account b has no lower work waiting, so its ticket is refused at once.
+// Account a's urgent ticket is predicted to be late behind other urgent tickets. While the
+// account has bulk work waiting, the ticket is not refused on the prediction: no lower work
+// of the account may be kept in its place. Account b has no lower work waiting, so its
+// ticket is refused at once.
 func TestUrgentNotRefusedOnPrediction(t *testing.T) {
 	p, now := trained(1, 100*ms)
 	now = now.Add(time.Second)
--- a/core/pull/sweep.go
+++ b/core/pull/sweep.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxReviewRefusals = 8   // Tickets of one account and tier that one review refuses.
-	reviewSlack       = 0.2 // Fraction of the time left by which a ticket must be late.
-	sweepsPerReview   = 5   // Sweeps between two reviews.
+	maxLateRefusals    = 8   // Tickets of one account and tier that one call of refuseLate refuses.
+	lateSlack          = 0.2 // Fraction of the time left by which a ticket must be late.
+	sweepsPerLateCheck = 5   // Sweeps between two calls of refuseLate.
 )
 
 // sweep examines all slots and upstreams, which is too expensive for every call.
@@ -24,7 +24,7 @@
 	before := p.liveUpstreams
 	p.updateCapacity(now)
 	var out []*wire.Decision
-	if p.sweeps++; p.sweeps%sweepsPerReview == 0 {
+	if p.sweeps++; p.sweeps%sweepsPerLateCheck == 0 {
 		out = p.refuseLate(now)
 	}
 	if (p.liveUpstreams < before || p.liveUpstreams == 0) && now.Sub(p.ownerSince) >= startGrace {
@@ -72,17 +72,17 @@
 
 // refuseLate refuses waiting tickets that are predicted to be late by now, the newest
 // first. They were accepted before more urgent work arrived or before an upstream became
-// slow, and their callers should not learn of it only at the deadline. It refuses later
-// than checkDeadline does, so that a short disturbance is no reason for a refusal.
+// slow, and their callers should not learn of it only at the deadline. It tolerates more
+// lateness than checkDeadline, so that a short disturbance causes no refusals.
 func (p *Policy) refuseLate(now time.Time) []*wire.Decision {
 	if p.rate == 0 {
 		return nil
 	}
 	var out []*wire.Decision
 	for _, i := range p.queue.Newest() {
-		for n := 0; i != nil && n < maxReviewRefusals && !i.Latest.IsZero() && !p.queue.HasLower(i.GetAccount(), i.Level()); n++ {
+		for n := 0; i != nil && n < maxLateRefusals && !i.Latest.IsZero() && !p.queue.HasLower(i.GetAccount(), i.Level()); n++ {
 			late := p.lateness(now, i)
-			if late <= time.Duration(reviewSlack*float64(i.Latest.Sub(now))) {
+			if late <= time.Duration(lateSlack*float64(i.Latest.Sub(now))) {
 				break
 			}
 			p.queue.Remove(i.GetIncarnation(), i.GetId())
--- a/core/pull/throughput.go
+++ b/core/pull/throughput.go
@@ -4,7 +4,7 @@
 
 // throughput measures how fast waiting work is granted.
 type throughput struct {
-	rate       float64 // Work units a second, measured while work waits; zero while unknown.
+	rate       float64 // Work units a second: measured while work waits, else estimated; zero while unknown.
 	granted    float64 // Work units granted since the last update.
 	backlogged int     // Consecutive intervals at whose end work waited.
 	lastUpdate time.Time
