--- a/core/batch/length.go
+++ b/core/batch/length.go
@@ -10,7 +10,7 @@
 // longest estimates are mostly too long and the shortest too short, as in each sorting
 // by a guess. The zero value believes the estimates.
 type length struct {
-	line slope.Slope // Of the logarithms of tokens, as estimates are off by factors.
+	line slope.Fit // Of the logarithms of tokens, as estimates are off by factors.
 	runs int
 }
 
--- a/core/batch/shape.go
+++ b/core/batch/shape.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"azurelane/core/bend"
+	"azurelane/core/curve"
 )
 
 const (
@@ -37,7 +37,7 @@
 // long reading a prompt takes against making an answer, and how long answers are.
 // The zero value knows nothing.
 type shape struct {
-	reading bend.Bend // Times of an answer token until the first piece, by thousands of prompt tokens.
+	reading curve.Fit // Times of an answer token until the first piece, by thousands of prompt tokens.
 	at      time.Time // Of the last run.
 	runs    int
 	run     float64 // Mean answer tokens.
@@ -60,8 +60,8 @@
 	keep := max(math.Exp(-now.Sub(s.at).Seconds()/shapeSpan.Seconds()), leastKeep)
 	s.at = now
 	s.reading.Add(keep, float64(prompt)/perKilo, read)
-	s.linear, s.square = s.reading.Rise()
-	if s.reading.Alike() {
+	s.linear, s.square = s.reading.Coefficients()
+	if s.reading.Degenerate() {
 		// All of the time to the first piece could be reading or none of it. Taken for
 		// reading, every prompt seemed to hold up the next one by that, and callers who
 		// had come first seemed late and were passed over for newer ones.
--- a/core/bend/bend.go
+++ b/core/curve/bend.go
@@ -1,11 +1,11 @@
 // Package bend fits a curve that rises and does not flatten to observations that
 // fade with age.
-package bend
+package curve
 
-// Bend is a weighted least-squares fit of y = a + b*x + c*x*x, with none of the
+// Fit is a weighted least-squares fit of y = a + b*x + c*x*x, with none of the
 // three below zero, where each new observation takes a little weight from all older
 // ones. The zero value has seen nothing and is ready.
-type Bend struct {
+type Fit struct {
 	n, x, x2, x3, x4 float64 // Faded sums.
 	y, xy, x2y       float64
 }
@@ -16,7 +16,7 @@
 
 // Add takes one observation; keep is the part of their weight that the older ones
 // keep. Its own weight falls with the square of x, as the scatter of y grows with it.
-func (b *Bend) Add(keep, x, y float64) {
+func (b *Fit) Add(keep, x, y float64) {
 	w := 1 / ((1 + x) * (1 + x))
 	b.n = b.n*keep + w
 	b.x = b.x*keep + w*x
@@ -28,12 +28,12 @@
 	b.x2y = b.x2y*keep + w*x*x*y
 }
 
-// Alike reports whether what was seen of x differs too little to tell a rise from an
+// Degenerate reports whether what was seen of x differs too little to tell a rise from an
 // offset.
-func (b *Bend) Alike() bool { return b.n == 0 || b.x2-b.x*b.x/b.n <= flat*b.x2 }
+func (b *Fit) Degenerate() bool { return b.n == 0 || b.x2-b.x*b.x/b.n <= flat*b.x2 }
 
-// Rise returns the factors of x and of its square.
-func (b *Bend) Rise() (linear, square float64) {
+// Coefficients returns the factors of x and of its square.
+func (b *Fit) Coefficients() (linear, square float64) {
 	if b.n == 0 {
 		return 0, 0
 	}
--- a/core/bend/bend_test.go
+++ b/core/curve/bend_test.go
@@ -1,4 +1,4 @@
-package bend
+package curve
 
 import (
 	"math/rand/v2"
@@ -24,18 +24,18 @@
 		{"nothing of it", 20, 0, 0, 0.2, 40},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var f Bend
+			var f Fit
 			rnd := rand.New(rand.NewPCG(1, 2))
 			for range 3000 {
 				x := tc.from + tc.span*rnd.Float64()*rnd.Float64()*rnd.Float64()
 				f.Add(0.999, x, (tc.a+tc.b*x+tc.c*x*x)*(0.8+0.4*rnd.Float64()))
 			}
-			linear, square := f.Rise()
+			linear, square := f.Coefficients()
 			x := tc.from + tc.span
 			want := tc.b*x + tc.c*x*x
 			must.Between(t, 0.9*want-0.1*tc.a, linear*x+square*x*x, 1.1*want+0.1*tc.a)
 		})
 	}
-	linear, square := new(Bend).Rise()
+	linear, square := new(Fit).Coefficients()
 	must.Eq(t, 0, linear+square)
 }
--- a/core/item/item.go
+++ b/core/item/item.go
@@ -14,7 +14,7 @@
 	Work     float64   // Expected size in work units.
 	Long     bool      // Long against the usual request of the pool.
 	Deadline time.Time // Zero for none.
-	Latest   time.Time // When a dispatch could still be in time; zero for any time.
+	LatestDispatch   time.Time // When a dispatch could still be in time; zero for any time.
 }
 
 // Level is the ticket's tier. Tiers out of range count as the lowest.
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -18,11 +18,11 @@
 	trialSlots int     // Slots allowed while it recovers; zero when in full service.
 	maxRunning float64 // Learned concurrency limit; zero for the announced one.
 
-	firstToken slope.Slope // Seconds to the first token, by prompt tokens.
-	decode     slope.Slope // Seconds from the first to the last token, by answer tokens.
+	firstToken slope.Fit // Seconds to the first token, by prompt tokens.
+	decode     slope.Fit // Seconds from the first to the last token, by answer tokens.
 	// Seconds of runs with an answer in one piece, where prefill and decode can't be told
 	// apart.
-	wholeRun       plane.Plane
+	wholeRun       plane.Fit
 	meanError      float64 // Mean relative error of RunTime.
 	minPrefill     float64 // Least seconds to the first token for each prompt token.
 	queuedFraction float64 // Mean fraction of a run spent in the upstream's own queue.
@@ -64,14 +64,14 @@
 func Cost(prompt, answer int64) float64 { return 1 + float64(prompt)/16 + float64(answer) }
 
 // Known reports whether a run has been observed.
-func (p *Profile) Known() bool { return p.firstToken.Known() || p.wholeRun.Known() }
+func (p *Profile) Known() bool { return p.firstToken.HasData() || p.wholeRun.HasData() }
 
 // RunTime returns the expected time of a run from dispatch to its end, at recent batch
 // sizes. It is zero while nothing is known.
 func (p *Profile) RunTime(prompt, answer int64, cached bool) time.Duration {
 	x, y := prefillTokens(prompt, cached), float64(answer)
 	s := p.firstToken.At(x) + p.decode.At(y)
-	if !p.firstToken.Known() {
+	if !p.firstToken.HasData() {
 		s = p.wholeRun.At(x+wholeRunOffset, y)
 	}
 	return time.Duration(s * float64(time.Second))
@@ -102,7 +102,7 @@
 		p.adjustConcurrency(x, first, total, running, announced)
 	} else {
 		p.wholeRun.Add(x+wholeRunOffset, float64(answer), total.Seconds())
-		if p.firstToken.Known() {
+		if p.firstToken.HasData() {
 			p.decode.Add(float64(answer), max(total.Seconds()-p.firstToken.At(x), 0))
 		}
 	}
--- a/core/plane/plane.go
+++ b/core/plane/plane.go
@@ -2,10 +2,10 @@
 // its own, to observations that fade with age.
 package plane
 
-// Plane is a weighted least-squares fit of z = a*x + b*y with a and b not below
+// Fit is a weighted least-squares fit of z = a*x + b*y with a and b not below
 // zero, where each new observation takes a little weight from all older ones.
 // The zero value has seen nothing and is ready.
-type Plane struct {
+type Fit struct {
 	xx, xy, yy, xz, yz float64 // Faded sums.
 }
 
@@ -14,7 +14,7 @@
 
 // Add takes one observation. Its weight falls with the square of its size, so
 // that the relative miss is what counts and small ones are fitted too.
-func (p *Plane) Add(x, y, z float64) {
+func (p *Fit) Add(x, y, z float64) {
 	w := 1 / (1 + (x+y)*(x+y))
 	p.xx = p.xx*fade + w*x*x
 	p.xy = p.xy*fade + w*x*y
@@ -23,18 +23,18 @@
 	p.yz = p.yz*fade + w*y*z
 }
 
-// Known reports whether anything was observed.
-func (p *Plane) Known() bool { return p.xx+p.yy > 0 }
+// HasData reports whether anything was observed.
+func (p *Fit) HasData() bool { return p.xx+p.yy > 0 }
 
 // At returns z at x and y.
-func (p *Plane) At(x, y float64) float64 {
+func (p *Fit) At(x, y float64) float64 {
 	a, b := p.solve()
 	return a*x + b*y
 }
 
 // solve returns the two factors. When x and y always come in the same
 // proportion, one factor serves for both.
-func (p *Plane) solve() (a, b float64) {
+func (p *Fit) solve() (a, b float64) {
 	const thin = 1e-3
 	det := p.xx*p.yy - p.xy*p.xy
 	if det <= thin*p.xx*p.yy {
--- a/core/pull/admit.go
+++ b/core/pull/admit.go
@@ -22,7 +22,7 @@
 	i := &item.Item{Ticket: t, Work: limit.Cost(t.GetPromptTokens(), t.GetAnswerTokens()), Long: p.workload.observe(now, t)}
 	if t.GetDeadlineUs() > 0 {
 		i.Deadline = now.Add(micros(t.GetDeadlineUs()))
-		i.Latest = i.Deadline.Add(-p.minRunTime(now, i))
+		i.LatestDispatch = i.Deadline.Add(-p.minRunTime(now, i))
 	}
 	return i
 }
@@ -58,7 +58,7 @@
 	if i.Deadline.IsZero() {
 		return "", 0
 	}
-	if now.After(i.Latest) {
+	if now.After(i.LatestDispatch) {
 		return refuse.Deadline, maxRetry
 	}
 	if p.rate == 0 || p.queue.HasLower(i.GetAccount(), i.Level()) {
@@ -73,7 +73,7 @@
 // lateness returns how long after its latest dispatch time the item is expected to be
 // dispatched, given the work queued ahead of it. It is negative if the item is in time.
 func (p *Policy) lateness(now time.Time, i *item.Item) time.Duration {
-	left := i.Latest.Sub(now)
+	left := i.LatestDispatch.Sub(now)
 	return seconds(p.queue.WorkAhead(i, left, p.rate)/p.rate) - left
 }
 
--- a/core/pull/sweep.go
+++ b/core/pull/sweep.go
@@ -80,9 +80,9 @@
 	}
 	var out []*wire.Decision
 	for _, i := range p.queue.Newest() {
-		for n := 0; i != nil && n < maxLateRefusals && !i.Latest.IsZero() && !p.queue.HasLower(i.GetAccount(), i.Level()); n++ {
+		for n := 0; i != nil && n < maxLateRefusals && !i.LatestDispatch.IsZero() && !p.queue.HasLower(i.GetAccount(), i.Level()); n++ {
 			late := p.lateness(now, i)
-			if late <= time.Duration(lateSlack*float64(i.Latest.Sub(now))) {
+			if late <= time.Duration(lateSlack*float64(i.LatestDispatch.Sub(now))) {
 				break
 			}
 			p.queue.Remove(i.GetIncarnation(), i.GetId())
--- a/core/queue/heap.go
+++ b/core/queue/heap.go
@@ -45,10 +45,10 @@
 
 func (h expiryHeap) Less(i, j int) bool {
 	a, b := h.nodes[i], h.nodes[j]
-	if a.Latest.Equal(b.Latest) {
+	if a.LatestDispatch.Equal(b.LatestDispatch) {
 		return a.seq < b.seq
 	}
-	return a.Latest.Before(b.Latest)
+	return a.LatestDispatch.Before(b.LatestDispatch)
 }
 
 func (h expiryHeap) Swap(i, j int) {
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -114,7 +114,7 @@
 	n.flow = a.flow(q.class(i), i.Level())
 	heap.Push(&n.flow.items, n)
 	a.firstFlow = nil
-	if !i.Latest.IsZero() {
+	if !i.LatestDispatch.IsZero() {
 		heap.Push(&q.expiry, n)
 	}
 }
@@ -254,7 +254,7 @@
 		return nil
 	}
 	n := q.expiry.nodes[0]
-	if now.Before(n.Latest) {
+	if now.Before(n.LatestDispatch) {
 		return nil
 	}
 	q.remove(n)
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -191,7 +191,7 @@
 	}
 	if ms := rapid.IntRange(0, 5).Draw(t, "deadline"); ms > 0 {
 		i.Deadline = epoch.Add(time.Duration(ms) * time.Second)
-		i.Latest = i.Deadline.Add(-time.Millisecond)
+		i.LatestDispatch = i.Deadline.Add(-time.Millisecond)
 	}
 	return i
 }
@@ -258,12 +258,12 @@
 			"expire": func(t *rapid.T) {
 				now := epoch.Add(time.Duration(rapid.IntRange(0, 2).Draw(t, "s")) * time.Second)
 				for got := q.PopExpired(now); got != nil; got = q.PopExpired(now) {
-					must.False(t, now.Before(got.Latest))
+					must.False(t, now.Before(got.LatestDispatch))
 					must.True(t, slices.Contains(v.list, got))
 					v.take(got)
 				}
 				for _, i := range v.list {
-					must.True(t, i.Latest.IsZero() || now.Before(i.Latest))
+					must.True(t, i.LatestDispatch.IsZero() || now.Before(i.LatestDispatch))
 				}
 			},
 			"": func(t *rapid.T) { must.Eq(t, len(v.list), q.Len()) },
--- a/core/before/before.go
+++ b/core/reqage/before.go
@@ -1,6 +1,6 @@
 // Package before tells how long ago a caller first tried, by the time that it
 // says it will still wait.
-package before
+package reqage
 
 import (
 	"slices"
@@ -17,19 +17,19 @@
 	spread = 2.4
 )
 
-// Before holds the waits of one route's callers. An attempt after a refusal comes
+// Estimator holds the waits of one route's callers. An attempt after a refusal comes
 // with less time than a first one; but callers may also differ, and those who
 // bring a tenth less time have not waited for that long. Taken for attempts of
 // long ago, they were refused as if their objective were nearly over, as nine in ten of
 // those refused of the most urgent kind were. The zero value is ready.
-type Before struct {
+type Estimator struct {
 	waits [keep]time.Duration
 	n     int // Seen, of which the last keep are remembered.
 }
 
-// Add notes how long a caller will wait and returns how long ago it first tried,
+// Observe notes how long a caller will wait and returns how long ago it first tried,
 // as far as that can be told.
-func (b *Before) Add(wait time.Duration) time.Duration {
+func (b *Estimator) Observe(wait time.Duration) time.Duration {
 	b.waits[b.n%keep] = wait
 	b.n++
 	sorted := slices.Clone(b.waits[:min(b.n, keep)])
--- a/core/before/before_test.go
+++ b/core/reqage/before_test.go
@@ -1,4 +1,4 @@
-package before
+package reqage
 
 import (
 	"math/rand/v2"
@@ -28,7 +28,7 @@
 		{"they do no more", []float64{0.15, 0}, 0.1, 0.99, 0.2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var b Before
+			var b Estimator
 			rnd := rand.New(rand.NewPCG(1, 2))
 			first, told, missed := 0, 0, 0
 			for i := range 4000 {
@@ -36,7 +36,7 @@
 				wait := time.Duration((1 - part*rnd.Float64()) * float64(6*time.Second))
 				learnt := i*len(tc.parts)%4000 > 4*keep
 				if rnd.Float64() < tc.returned {
-					got := b.Add(wait - away)
+					got := b.Observe(wait - away)
 					if learnt && got == 0 {
 						missed++
 					} else if learnt {
@@ -44,7 +44,7 @@
 					}
 					continue
 				}
-				got := b.Add(wait)
+				got := b.Observe(wait)
 				if learnt {
 					first++
 					if got == 0 {
@@ -60,8 +60,8 @@
 
 // The first caller of all can't be told from one that came back.
 func TestNothingKnown(t *testing.T) {
-	var b Before
-	must.Eq(t, 0, b.Add(time.Second))
-	must.Eq(t, 0, b.Add(time.Second))
-	must.Eq(t, 400*time.Millisecond, b.Add(600*time.Millisecond))
+	var b Estimator
+	must.Eq(t, 0, b.Observe(time.Second))
+	must.Eq(t, 0, b.Observe(time.Second))
+	must.Eq(t, 400*time.Millisecond, b.Observe(600*time.Millisecond))
 }
--- a/core/slope/slope.go
+++ b/core/slope/slope.go
@@ -1,10 +1,10 @@
 // Package slope fits a line to observations that fade with age.
 package slope
 
-// Slope is a weighted least-squares line through (x, y), where each new
+// Fit is a weighted least-squares line through (x, y), where each new
 // observation takes a little weight from all older ones. The zero value has
 // seen nothing and is ready.
-type Slope struct {
+type Fit struct {
 	n, x, xx, y, xy float64 // Faded sums.
 }
 
@@ -18,7 +18,7 @@
 
 // Add takes one observation. Its weight falls with x, so that the few long
 // requests don't drown the many short ones.
-func (s *Slope) Add(x, y float64) {
+func (s *Fit) Add(x, y float64) {
 	w := 1 / (1 + x)
 	s.n = s.n*fade + w
 	s.x = s.x*fade + w*x
@@ -27,11 +27,11 @@
 	s.xy = s.xy*fade + w*x*y
 }
 
-// Known reports whether anything was observed.
-func (s *Slope) Known() bool { return s.n > 0 }
+// HasData reports whether anything was observed.
+func (s *Fit) HasData() bool { return s.n > 0 }
 
 // At returns the line's y at x, never below zero.
-func (s *Slope) At(x float64) float64 {
+func (s *Fit) At(x float64) float64 {
 	if s.n == 0 {
 		return 0
 	}
@@ -41,7 +41,7 @@
 
 // line returns a line that does not fall. With too little spread in x it goes
 // through the origin.
-func (s *Slope) line() (incline, offset float64) {
+func (s *Fit) line() (incline, offset float64) {
 	det := s.n*s.xx - s.x*s.x
 	if det < flat*s.n*s.xx {
 		if s.x == 0 {
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -14,7 +14,7 @@
 
 	"github.com/go-logr/logr"
 
-	"azurelane/core/before"
+	"azurelane/core/reqage"
 	"azurelane/core/budget"
 	"azurelane/core/meta"
 	"azurelane/core/peers"
@@ -55,7 +55,7 @@
 		budgets map[string]*budget.Budget // By pool.
 		usage   map[string]int64          // Units by account, not reported yet.
 		alone   alone
-		before  map[string]*before.Before // By route.
+		before  map[string]*reqage.Estimator // By route.
 	}
 
 	// news is what the entry knows of the deployment.
--- a/io/gate/place.go
+++ b/io/gate/place.go
@@ -6,7 +6,7 @@
 
 	"github.com/pkg/errors"
 
-	"azurelane/core/before"
+	"azurelane/core/reqage"
 	"azurelane/core/budget"
 	"azurelane/core/peers"
 	"azurelane/core/refuse"
@@ -227,13 +227,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.before == nil {
-		g.before, g.budgets = map[string]*before.Before{}, map[string]*budget.Budget{}
+		g.before, g.budgets = map[string]*reqage.Estimator{}, map[string]*budget.Budget{}
 	}
 	if q.meta.Deadline > 0 {
 		if g.before[q.route.Name] == nil {
-			g.before[q.route.Name] = &before.Before{}
+			g.before[q.route.Name] = &reqage.Estimator{}
 		}
-		q.before = g.before[q.route.Name].Add(q.meta.Deadline)
+		q.before = g.before[q.route.Name].Observe(q.meta.Deadline)
 	}
 	b := g.budgets[q.pool]
 	if b == nil {
