--- a/core/place/preset.go
+++ b/core/place/preset.go
@@ -2,11 +2,10 @@
 
 import "fmt"
 
-// presets are the registered weights.
+// presets holds the registered weights by name.
 var presets = map[string]Picker{}
 
-// Register adds a preset. It panics on a second one of the same name, which
-// can only be a mistake in the program.
+// Register adds a preset. It panics if the name is taken, which is a programming error.
 func Register(name string, p Picker) {
 	if _, ok := presets[name]; ok {
 		panic("place: preset registered twice: " + name)
@@ -14,7 +13,7 @@
 	presets[name] = p
 }
 
-// Preset returns the weights registered under name.
+// Preset returns a Picker with the weights registered under name.
 func Preset(name string) (Picker, error) {
 	p, ok := presets[name]
 	if !ok {
@@ -23,10 +22,10 @@
 	return p, nil
 }
 
-// Names of the presets that come with the program.
+// Names of the built-in presets.
 const (
-	Goodput = "goodput" // Answers in time come first.
-	Prefill = "prefill" // Prompt work that isn't done in vain comes first.
+	Goodput = "goodput" // Prefers answers that meet their deadline.
+	Prefill = "prefill" // Prefers to waste no prompt processing.
 )
 
 func init() {
--- a/core/pull/admit.go
+++ b/core/pull/admit.go
@@ -12,90 +12,94 @@
 )
 
 const (
-	shortestRetry = 100 * time.Millisecond
-	longestRetry  = time.Minute
+	minRetry = 100 * time.Millisecond
+	maxRetry = time.Minute
 )
 
-// item makes a ticket ready for the queue.
-func (l *Policy) item(now time.Time, t *wire.Ticket) *item.Item {
-	i := &item.Item{Ticket: t, Work: limit.Cost(t.GetPromptTokens(), t.GetAnswerTokens()), Long: l.usual.add(now, t)}
+// newItem returns the queue item of a ticket, with its estimated work, length class and
+// deadline.
+func (p *Policy) newItem(now time.Time, t *wire.Ticket) *item.Item {
+	i := &item.Item{Ticket: t, Work: limit.Cost(t.GetPromptTokens(), t.GetAnswerTokens()), Long: p.workload.observe(now, t)}
 	if t.GetDeadlineUs() > 0 {
 		i.Deadline = now.Add(micros(t.GetDeadlineUs()))
-		i.LatestDispatch = i.Deadline.Add(-l.fastest(now, i))
+		i.LatestDispatch = i.Deadline.Add(-p.minRunTime(now, i))
 	}
 	return i
 }
 
-// fastest is the expected time of the item's run on the fastest upstream that
-// serves it, zero while one of them is unknown. Most often the one that is
-// fastest for usual runs is fast enough, and the others need no look.
-func (l *Policy) fastest(now time.Time, i *item.Item) time.Duration {
-	if u := l.quick; u != nil && u.Live(now) && u.Serves(i.Ticket) {
-		if e := l.place.SafeRunTime(u, i.Ticket); !now.Add(e).After(i.Deadline) {
+// minRunTime returns the expected run time of the item on the fastest live upstream that
+// serves it. It is zero if there is no such upstream or the speed of one of them is
+// unknown. The upstream that is fastest for a typical request is tried first: if it meets
+// the deadline, its run time is returned and the others are not examined.
+func (p *Policy) minRunTime(now time.Time, i *item.Item) time.Duration {
+	if u := p.fastest; u != nil && u.Live(now) && u.Serves(i.Ticket) {
+		if e := p.picker.SafeRunTime(u, i.Ticket); !now.Add(e).After(i.Deadline) {
 			return e
 		}
 	}
 	best := time.Duration(-1)
-	for _, u := range l.table.All() {
+	for _, u := range p.table.All() {
 		if !u.Live(now) || !u.Serves(i.Ticket) {
 			continue
 		}
-		if e := l.place.SafeRunTime(u, i.Ticket); best < 0 || e < best {
+		if e := p.picker.SafeRunTime(u, i.Ticket); best < 0 || e < best {
 			best = e
 		}
 	}
 	return max(best, 0)
 }
 
-// hopeless returns the refusal of an item that can't be done in time: by the
-// fastest upstream at once, or behind the work ahead of it. The second is a
-// prediction, and an account's urgent ticket isn't refused on one while lower
-// work of the account is kept.
-func (l *Policy) hopeless(now time.Time, i *item.Item) (string, time.Duration) {
+// checkDeadline returns the refusal code and the retry delay for an item that can't meet
+// its deadline, or an empty code. An item is refused if even the fastest upstream would
+// finish it too late, or if the work queued ahead of it delays it too long. The second
+// check is only a prediction, so it refuses no ticket while lower-tier work of the same
+// account waits.
+func (p *Policy) checkDeadline(now time.Time, i *item.Item) (string, time.Duration) {
 	if i.Deadline.IsZero() {
 		return "", 0
 	}
 	if now.After(i.LatestDispatch) {
-		return refuse.Deadline, longestRetry
+		return refuse.Deadline, maxRetry
 	}
-	if l.rate == 0 || l.queue.HasLower(i.GetAccount(), i.Level()) {
+	if p.rate == 0 || p.queue.HasLower(i.GetAccount(), i.Level()) {
 		return "", 0
 	}
-	if late := l.late(now, i); late > 0 {
-		return refuse.Deadline, retry(i.Ticket, late)
+	if late := p.lateness(now, i); late > 0 {
+		return refuse.Deadline, spreadRetry(i.Ticket, late)
 	}
 	return "", 0
 }
 
-// late is by how much the work ahead of an item makes it late, below zero when
-// it is in time.
-func (l *Policy) late(now time.Time, i *item.Item) time.Duration {
+// lateness returns how long after its latest dispatch time the item is expected to be
+// dispatched, given the work queued ahead of it. It is negative if the item is in time.
+func (p *Policy) lateness(now time.Time, i *item.Item) time.Duration {
 	left := i.LatestDispatch.Sub(now)
-	return seconds(l.queue.WorkAhead(i, left, l.rate)/l.rate) - left
+	return seconds(p.queue.WorkAhead(i, left, p.rate)/p.rate) - left
 }
 
-// later is when a ticket like the shed one may find room: when what waits ahead
-// of it is done.
-func (l *Policy) later(i *item.Item) time.Duration {
-	if l.rate == 0 {
-		return retry(i.Ticket, time.Second)
+// retryAfter returns the retry delay for a shed ticket: the time that the pool needs for
+// the work queued ahead of it.
+func (p *Policy) retryAfter(i *item.Item) time.Duration {
+	if p.rate == 0 {
+		return spreadRetry(i.Ticket, time.Second)
 	}
-	return retry(i.Ticket, seconds(l.queue.WorkAhead(i, 0, l.rate)/l.rate))
+	return spreadRetry(i.Ticket, seconds(p.queue.WorkAhead(i, 0, p.rate)/p.rate))
 }
 
-// retry spreads the return of callers that were refused together over half of
-// the time again, or they would come back as one burst.
-func retry(t *wire.Ticket, after time.Duration) time.Duration {
-	after = min(max(after, shortestRetry), longestRetry)
+// spreadRetry limits the delay to between minRetry and maxRetry and then adds up to half of
+// it, depending on the ticket's ID. Without the spread, callers that were refused together
+// would retry in one burst.
+func spreadRetry(t *wire.Ticket, after time.Duration) time.Duration {
+	after = min(max(after, minRetry), maxRetry)
 	const parts = 16
 	return after + after/2*time.Duration(t.GetId()%parts)/parts
 }
 
 func seconds(s float64) time.Duration {
-	return time.Duration(min(s, longestRetry.Seconds()*10) * float64(time.Second))
+	return time.Duration(min(s, maxRetry.Seconds()*10) * float64(time.Second))
 }
 
-// served reports whether a live upstream may run the ticket.
-func (l *Policy) served(now time.Time, t *wire.Ticket) bool {
-	return slices.ContainsFunc(l.table.All(), func(u *upstr.Upstream) bool { return u.Live(now) && u.Serves(t) })
+// hasUpstream reports whether a live upstream may run the ticket.
+func (p *Policy) hasUpstream(now time.Time, t *wire.Ticket) bool {
+	return slices.ContainsFunc(p.table.All(), func(u *upstr.Upstream) bool { return u.Live(now) && u.Serves(t) })
 }
--- a/core/pull/learn.go
+++ b/core/pull/learn.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// A run is overdue after overdueFactor times its expected time and
-	// overdueGrace more.
+	// A run is overdue after overdueFactor times its expected time plus overdueGrace.
 	overdueFactor = 4
 	overdueGrace  = time.Second
-	// wrongCache is the part of an uncached prompt's expected time that a run
-	// with a cached prefix must stay under.
-	wrongCache = 0.5
+	// maxCachedFraction is the fraction of the expected prefill time without a cache below
+	// which a run with a cached prefix must stay. A slower prefill shows that the prefix
+	// was not cached.
+	maxCachedFraction = 0.5
 )
 
-// Release frees a slot, learns from the run and grants what now fits. What is
-// no slot of this owner any more teaches nothing, as its run was counted or
-// given up before.
-func (l *Policy) Release(now time.Time, r *wire.Release) []*wire.Decision {
-	s := l.slots.Free(now, r)
+// Release frees a slot, learns from the run and grants free slots. A release of a slot that
+// this owner does not hold any more is ignored, because the run was already counted or
+// given up.
+func (p *Policy) Release(now time.Time, r *wire.Release) []*wire.Decision {
+	s := p.slots.Free(now, r)
 	if s == nil {
 		return nil
 	}
-	l.learn(now, s, r)
-	if !slices.Contains(l.open, s.Up) {
-		l.open = append(l.open, s.Up)
+	p.learn(now, s, r)
+	if !slices.Contains(p.available, s.Up) {
+		p.available = append(p.available, s.Up)
 	}
-	return l.assign(now)
+	return p.assign(now)
 }
 
-func (l *Policy) learn(now time.Time, s *slot.Slot, r *wire.Release) {
+func (p *Policy) learn(now time.Time, s *slot.Slot, r *wire.Release) {
 	t, u := s.Ticket, s.Up
 	switch {
 	case !r.GetDispatched():
-		l.queue.AdjustCharge(t.GetAccount(), -s.Work)
+		p.queue.AdjustCharge(t.GetAccount(), -s.Work)
 		if r.GetFailed() {
 			u.Learnt.RecordFailure(now, "")
 		}
 		return
 	case r.GetFailed():
-		l.failed(now, s, r)
+		p.recordFailure(now, s, r)
 		return
 	}
 	prompt, answer := t.GetPromptTokens(), t.GetAnswerTokens()
@@ -55,47 +55,48 @@
 		answer = n
 	}
 	if s.Work > 0 {
-		l.queue.AdjustCharge(t.GetAccount(), limit.Cost(prompt, answer)-s.Work)
+		p.queue.AdjustCharge(t.GetAccount(), limit.Cost(prompt, answer)-s.Work)
 	}
-	l.blame.RecordSuccess(t.GetAccount())
+	p.abuse.RecordSuccess(t.GetAccount())
 	first, total := micros(r.GetFirstTokenUs()), micros(r.GetTotalUs())
-	if s.Cached && l.uncached(s, prompt, first) {
+	if s.Cached && p.cacheMissed(s, prompt, first) {
 		u.Cache.Wrong(t.GetPrefixHash())
 		s.Cached = false
 	}
 	u.Learnt.RecordSuccess(now, prompt, answer, s.Cached, first, total, u.Running+1, u.Limit())
 }
 
-// failed blames the account or the upstream. An account whose requests fail
-// where the others' succeed is confined; its failures then say nothing of the
-// upstream.
-func (l *Policy) failed(now time.Time, s *slot.Slot, r *wire.Release) {
+// recordFailure attributes a failed run to the account or to the upstream. An account whose
+// requests fail where those of others succeed is confined; while it is, its failures don't
+// count against upstreams.
+func (p *Policy) recordFailure(now time.Time, s *slot.Slot, r *wire.Release) {
 	account := s.Ticket.GetAccount()
 	if d := s.Ticket.GetDeadlineUs(); d > 0 && micros(r.GetTotalUs()) >= micros(d)*9/10 {
-		return // Given up at its own deadline. Whether the upstream hangs, overdue tells.
+		return // The caller's own deadline ended the run; checkOverdue detects upstreams that hang.
 	}
-	if _, confined := l.blame.Confined(now, account); confined {
-		l.blame.RecordFailure(now, account, s.Up.GetUpstream())
+	if _, confined := p.abuse.Confined(now, account); confined {
+		p.abuse.RecordFailure(now, account, s.Up.GetUpstream())
 		return
 	}
 	s.Up.Learnt.RecordFailure(now, account)
 	if s.Up.Learnt.AccountAtFault(now) {
-		l.blame.RecordFailure(now, account, s.Up.GetUpstream())
+		p.abuse.RecordFailure(now, account, s.Up.GetUpstream())
 	}
 }
 
-// uncached reports whether a run shows that the prefix was not cached.
-func (l *Policy) uncached(s *slot.Slot, prompt int64, first time.Duration) bool {
+// cacheMissed reports whether the time to the first token shows that the prefix was not
+// cached.
+func (p *Policy) cacheMissed(s *slot.Slot, prompt int64, first time.Duration) bool {
 	full := s.Up.Learnt.RunTime(prompt, 0, false) - s.Up.Learnt.RunTime(0, 0, false)
 	saved := full - (s.Up.Learnt.RunTime(prompt, 0, true) - s.Up.Learnt.RunTime(0, 0, true))
-	return first > 0 && saved > 0 && first > s.Up.Learnt.RunTime(0, 0, true)+time.Duration(wrongCache*float64(full))
+	return first > 0 && saved > 0 && first > s.Up.Learnt.RunTime(0, 0, true)+time.Duration(maxCachedFraction*float64(full))
 }
 
-// overdue takes an upstream out of service that holds a run for much longer
-// than expected and has finished nothing else meanwhile. A frozen engine keeps
-// its connections open and may go on announcing itself, so neither a failed run
-// nor a lost lease would tell before the callers' deadlines.
-func (l *Policy) overdue(now time.Time) func(*slot.Slot) {
+// checkOverdue returns a function for the sweep that takes an upstream out of service if
+// one of its runs takes much longer than expected and no other run there has succeeded
+// meanwhile. A frozen engine keeps its connections open and may go on announcing itself, so
+// neither a failed run nor an expired lease reveals it before the callers' deadlines.
+func (p *Policy) checkOverdue(now time.Time) func(*slot.Slot) {
 	return func(s *slot.Slot) {
 		limit := overdueFactor*s.Expect + overdueGrace
 		if s.Expect > 0 && now.Sub(s.Since) > limit && now.Sub(s.Up.Learnt.LastSuccess()) > limit {
--- a/core/pull/sweep.go
+++ b/core/pull/sweep.go
@@ -10,84 +10,84 @@
 )
 
 const (
-	reviewMost  = 8   // Tickets of one account and tier that one review refuses.
-	reviewSlack = 0.2 // Part of the time left by which a ticket must be late.
-	reviewEvery = 5   // Sweeps between two reviews.
+	maxLateRefusals    = 8   // Tickets of one account and tier that one call of refuseLate refuses.
+	lateSlack          = 0.2 // Fraction of the time left by which a ticket must be late.
+	sweepsPerLateCheck = 5   // Sweeps between two calls of refuseLate.
 )
 
-// sweep looks at all slots and upstreams, which is too much for each call.
-func (l *Policy) sweep(now time.Time) []*wire.Decision {
-	l.swept, l.stale = now, true
-	l.table.Expire(now, forgetAfter)
-	l.slots.Sweep(now, l.pool.MaxRun+runGrace, l.overdue(now))
-	l.turn(now)
-	before := l.live
-	l.measure(now)
+// sweep examines all slots and upstreams, which is too expensive for every call.
+func (p *Policy) sweep(now time.Time) []*wire.Decision {
+	p.lastSweep, p.availableStale = now, true
+	p.table.Expire(now, upstreamRetention)
+	p.slots.Sweep(now, p.pool.MaxRun+runGrace, p.checkOverdue(now))
+	p.updateThroughput(now)
+	before := p.liveUpstreams
+	p.updateCapacity(now)
 	var out []*wire.Decision
-	if l.sweeps++; l.sweeps%reviewEvery == 0 {
-		out = l.review(now)
+	if p.sweeps++; p.sweeps%sweepsPerLateCheck == 0 {
+		out = p.refuseLate(now)
 	}
-	if (l.live < before || l.live == 0) && now.Sub(l.started) >= startGrace {
-		out = append(out, l.unserved(now)...)
+	if (p.liveUpstreams < before || p.liveUpstreams == 0) && now.Sub(p.ownerSince) >= startGrace {
+		out = append(out, p.refuseUnserved(now)...)
 	}
 	return out
 }
 
-// measure sums up the live upstreams: how many there are, how fast they are
-// together, and which one is the fastest for a usual run.
-func (l *Policy) measure(now time.Time) {
-	l.live, l.rate, l.quick = 0, 0, nil
-	l.place.AllOnTrial, l.place.TypicalRun = true, 0
+// updateCapacity updates the number of live upstreams, their total rate, and the fastest
+// one for a typical request.
+func (p *Policy) updateCapacity(now time.Time) {
+	p.liveUpstreams, p.rate, p.fastest = 0, 0, nil
+	p.picker.AllOnTrial, p.picker.TypicalRun = true, 0
 	var quickest time.Duration
-	prompt, answer := int64(l.usual.prompt), int64(l.usual.answer)
-	for _, u := range l.table.All() {
+	prompt, answer := int64(p.workload.meanPrompt), int64(p.workload.meanAnswer)
+	for _, u := range p.table.All() {
 		if !u.Live(now) {
 			continue
 		}
-		l.live++
-		l.place.AllOnTrial = l.place.AllOnTrial && u.Learnt.OnTrial()
+		p.liveUpstreams++
+		p.picker.AllOnTrial = p.picker.AllOnTrial && u.Learnt.OnTrial()
 		e := u.Learnt.RunTime(prompt, answer, false)
 		if e <= 0 {
 			continue
 		}
-		l.rate += float64(u.Most(now)) * limit.Cost(prompt, answer) / e.Seconds()
-		l.place.TypicalRun = max(l.place.TypicalRun, e)
-		if l.quick == nil || e < quickest {
-			l.quick, quickest = u, e
+		p.rate += float64(u.Most(now)) * limit.Cost(prompt, answer) / e.Seconds()
+		p.picker.TypicalRun = max(p.picker.TypicalRun, e)
+		if p.fastest == nil || e < quickest {
+			p.fastest, quickest = u, e
 		}
 	}
-	l.rate = l.drain.capacity(l.rate)
-	l.queue.Burst = l.rate * burst.Seconds()
+	p.rate = p.throughput.capacity(p.rate)
+	p.queue.Burst = p.rate * burstTime.Seconds()
 }
 
-// unserved refuses what no live upstream serves any more, now and not at its
-// deadline.
-func (l *Policy) unserved(now time.Time) []*wire.Decision {
+// refuseUnserved refuses waiting tickets that no live upstream serves any more, instead of
+// letting them wait until their deadline.
+func (p *Policy) refuseUnserved(now time.Time) []*wire.Decision {
 	var out []*wire.Decision
-	for _, i := range l.queue.RemoveFunc(func(i *item.Item) bool { return !l.served(now, i.Ticket) }) {
+	for _, i := range p.queue.RemoveFunc(func(i *item.Item) bool { return !p.hasUpstream(now, i.Ticket) }) {
 		out = append(out, refuse.Ticket(i.Ticket, refuse.NoUpstream, startGrace))
 	}
 	return out
 }
 
-// review refuses waiting tickets that are predicted to be late by now, the
-// newest first. They were accepted before more urgent work came, or before an
-// upstream became slow, and their callers should not learn of it at the last
-// moment. It is slower to say no than hopeless, as what passes soon is no reason.
-func (l *Policy) review(now time.Time) []*wire.Decision {
-	if l.rate == 0 {
+// refuseLate refuses waiting tickets that are predicted to be late by now, the newest
+// first. They were accepted before more urgent work arrived or before an upstream became
+// slow, and their callers should not learn of it only at the deadline. It tolerates more
+// lateness than checkDeadline, so that a short disturbance causes no refusals.
+func (p *Policy) refuseLate(now time.Time) []*wire.Decision {
+	if p.rate == 0 {
 		return nil
 	}
 	var out []*wire.Decision
-	for _, i := range l.queue.Newest() {
-		for n := 0; i != nil && n < reviewMost && !i.LatestDispatch.IsZero() && !l.queue.HasLower(i.GetAccount(), i.Level()); n++ {
-			late := l.late(now, i)
-			if late <= time.Duration(reviewSlack*float64(i.LatestDispatch.Sub(now))) {
+	for _, i := range p.queue.Newest() {
+		for n := 0; i != nil && n < maxLateRefusals && !i.LatestDispatch.IsZero() && !p.queue.HasLower(i.GetAccount(), i.Level()); n++ {
+			late := p.lateness(now, i)
+			if late <= time.Duration(lateSlack*float64(i.LatestDispatch.Sub(now))) {
 				break
 			}
-			l.queue.Remove(i.GetIncarnation(), i.GetId())
-			out = append(out, refuse.Ticket(i.Ticket, refuse.Deadline, retry(i.Ticket, late)))
-			i = l.queue.NewestOf(i.GetAccount(), i.Level())
+			p.queue.Remove(i.GetIncarnation(), i.GetId())
+			out = append(out, refuse.Ticket(i.Ticket, refuse.Deadline, spreadRetry(i.Ticket, late)))
+			i = p.queue.NewestOf(i.GetAccount(), i.Level())
 		}
 	}
 	return out
--- a/core/upstr/upstr.go
+++ b/core/upstr/upstr.go
@@ -24,7 +24,7 @@
 	*wire.Announce
 	Long   int           // Running slots of long work.
 	Tokens int64         // Tokens of the requests in the running slots.
-	Learnt limit.Profile   // From its own runs.
+	Learnt limit.Profile // From its own runs.
 	Cache  prefix.Prefix // What it has probably cached.
 	hash   uint64
 	Meter  meter.Meter // Of the limit that it names.
