--- a/core/state/bans.go
+++ b/core/state/bans.go
@@ -8,16 +8,17 @@
 	"azurelane/core/wire"
 )
 
-// MaxBans bounds the bans that are recorded. Beyond it the oldest go.
+// MaxBans limits the number of stored bans. Above the limit, the oldest are deleted.
 const MaxBans = 1024
 
-// bans are the requests that are not sent any more. The zero value is empty and ready.
+// bans holds the banned requests, which are no longer sent to upstreams except for a few tries.
+// The zero value is empty and ready to use.
 type bans struct {
-	list     []*wire.Ban // Oldest first; replaced with each change.
-	revision uint64      // Of this replica; grows with each change.
+	list     []*wire.Ban // Oldest first; copied on each change.
+	revision uint64      // Local to this replica; grows with each change.
 }
 
-// record takes bans and lifts others. How often a request was tried never falls.
+// record adds and lifts bans. The number of tries of a request that stays banned never decreases.
 func (b *bans) record(r *wire.RecordBans) *wire.Result {
 	list := slices.Clone(b.list)
 	for _, n := range r.GetBanned() {
@@ -25,7 +26,7 @@
 			return &wire.Result{Code: Invalid, Text: "state: no digest"}
 		}
 		add := &wire.Ban{Digest: n.GetDigest(), Tries: n.GetTries()}
-		if i := find(list, n.GetDigest()); i >= 0 {
+		if i := findBan(list, n.GetDigest()); i >= 0 {
 			add.Tries = max(add.GetTries(), list[i].GetTries())
 			list[i] = add
 			continue
@@ -40,10 +41,11 @@
 	return &wire.Result{Code: OK}
 }
 
-func find(list []*wire.Ban, d []byte) int {
+// findBan returns the index of the ban of a request digest, or -1.
+func findBan(list []*wire.Ban, d []byte) int {
 	return slices.IndexFunc(list, func(b *wire.Ban) bool { return bytes.Equal(b.GetDigest(), d) })
 }
 
-// Bans lists the recorded bans, and a number that changes with them. The caller must not
-// change the list.
+// Bans returns the bans and a revision that grows whenever they change. The caller must not modify
+// the list.
 func (s *State) Bans() (list []*wire.Ban, revision uint64) { return s.bans.list, s.bans.revision }
--- a/core/state/bans_test.go
+++ b/core/state/bans_test.go
@@ -10,8 +10,8 @@
 	"azurelane/core/wire"
 )
 
-// Guards against recorded bans that are lost with a snapshot, grow without bound, or allow
-// more tries than were left.
+// Guards against bans that are missing from a snapshot, exceed MaxBans, or allow more tries than
+// were left.
 func TestBans(t *testing.T) {
 	d := func(n int) []byte { d := digest.Of("a", "POST", strconv.Itoa(n), nil); return d[:] }
 	var s State
@@ -24,10 +24,10 @@
 	must.Eq(t, Invalid, record(&wire.RecordBans{Banned: []*wire.Ban{{Digest: []byte("short")}}}))
 	data, err := s.Save()
 	must.NoError(t, err)
-	_, was := s.Bans()
+	_, revisionBefore := s.Bans()
 	must.NoError(t, s.Load(data))
 	list, revision := s.Bans()
-	must.NotEq(t, was, revision, must.Sprint("a loaded state is another one"))
+	must.NotEq(t, revisionBefore, revision, must.Sprint("the revision changes with Load"))
 	must.Len(t, 2, list)
 	must.Eq(t, d(1), list[0].GetDigest())
 	must.Eq(t, 1, list[0].GetTries())
--- a/core/state/bench_test.go
+++ b/core/state/bench_test.go
@@ -10,7 +10,8 @@
 	"azurelane/core/wire"
 )
 
-func filled(n int) *State {
+// stateWithClaims returns a state with n unfinished claims.
+func stateWithClaims(n int) *State {
 	var s State
 	for i := range n {
 		s.Apply(&wire.Command{Kind: &wire.Command_Claim{Claim: &wire.Claim{
@@ -21,21 +22,21 @@
 	return &s
 }
 
-// BenchmarkImage saves and loads the state of many claims, as a compaction and
-// a restart do.
+// BenchmarkImage encodes and loads a state with n claims, as log compaction and a restart do, and
+// reports the memory per claim.
 func BenchmarkImage(b *testing.B) {
 	for _, n := range []int{10000, 50000, 100000, 400000} {
 		b.Run(fmt.Sprintf("claims-%d", n), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			s := filled(n)
+			s := stateWithClaims(n)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			var img []byte
 			for b.Loop() {
 				var err error
-				img, err = Encode(s.Image())
+				img, err = EncodeImage(s.Image())
 				must.NoError(b, err)
 				var t State
 				must.NoError(b, t.Load(img))
@@ -47,11 +48,11 @@
 	}
 }
 
-// BenchmarkApply claims and finishes keys beside claims that are kept.
+// BenchmarkApply claims, frees and expires a key in a state with n other claims.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{10000, 50000, 100000, 400000} {
 		b.Run(fmt.Sprintf("claims-%d", n), func(b *testing.B) {
-			s := filled(n)
+			s := stateWithClaims(n)
 			i := int64(0)
 			for b.Loop() {
 				i++
--- a/core/state/image.go
+++ b/core/state/image.go
@@ -10,26 +10,27 @@
 	"azurelane/core/wire"
 )
 
-// Image returns what the state is now, as messages that no later command
-// changes. It costs a walk over the claims; Encode does the rest.
+// Image returns the current state as a message that later commands do not modify. It takes time
+// linear in the number of claims; EncodeImage does the rest of the work.
 func (s *State) Image() *wire.Image {
-	img := &wire.Image{Version: s.version, Change: s.change, Document: s.document, ClockUs: s.clock, Orders: s.orders.Save()}
-	img.Published, img.Publication, img.Roster = s.published, s.publication, s.roster.Save()
+	img := &wire.Image{Version: s.configVersion, Change: s.changeID, Document: s.configDocument, ClockUs: s.clockUs, Orders: s.orders.Save()}
+	img.Published, img.Publication, img.Roster = s.publicationVersion, s.publication, s.roster.Save()
 	img.Bans = s.bans.list
 	for _, c := range s.claims {
 		img.Claims = append(img.Claims, c)
 	}
-	for _, id := range s.ids {
-		img.Changes = append(img.Changes, &wire.ChangeState{Id: id, Result: s.results[id]})
+	for _, id := range s.changeIDs {
+		img.Changes = append(img.Changes, &wire.ChangeState{Id: id, Result: s.changeResults[id]})
 	}
 	return img
 }
 
-// Save is Image and Encode in one, for a state that is at rest.
-func (s *State) Save() ([]byte, error) { return Encode(s.Image()) }
+// Save returns the encoded image of a state that no command modifies during the call.
+func (s *State) Save() ([]byte, error) { return EncodeImage(s.Image()) }
 
-// Encode writes an image. Equal states give equal bytes.
-func Encode(img *wire.Image) ([]byte, error) {
+// EncodeImage sorts the claims of an image and returns it in its stored form. Equal states have
+// equal encodings.
+func EncodeImage(img *wire.Image) ([]byte, error) {
 	slices.SortFunc(img.GetClaims(), func(a, b *wire.ClaimState) int {
 		return cmp.Or(cmp.Compare(a.GetAccount(), b.GetAccount()), cmp.Compare(a.GetKey(), b.GetKey()))
 	})
@@ -40,28 +41,29 @@
 	return data, nil
 }
 
-// Load replaces the state by an image.
+// Load replaces the state by an encoded image. It returns an error, and leaves the state as it is,
+// if the image can't be decoded.
 func (s *State) Load(data []byte) error {
 	var img wire.Image
 	if err := proto.Unmarshal(data, &img); err != nil {
 		return fmt.Errorf("state: load: %w", err)
 	}
 	*s = State{
-		version: img.GetVersion(), change: img.GetChange(), document: img.GetDocument(),
-		claims: map[claimKey]*wire.ClaimState{}, results: map[string]*wire.Result{},
-		clock: img.GetClockUs(), published: img.GetPublished(), publication: img.GetPublication(),
+		configVersion: img.GetVersion(), changeID: img.GetChange(), configDocument: img.GetDocument(),
+		claims: map[claimKey]*wire.ClaimState{}, changeResults: map[string]*wire.Result{},
+		clockUs: img.GetClockUs(), publicationVersion: img.GetPublished(), publication: img.GetPublication(),
 		bans: bans{list: img.GetBans(), revision: s.bans.revision + 1},
 	}
 	s.roster.Load(img.GetRoster())
 	for _, c := range img.GetClaims() {
 		k := claimKey{c.GetAccount(), c.GetKey()}
 		s.claims[k] = c
-		s.endsAt(k, c.GetExpiresUs())
+		s.scheduleExpiry(k, c.GetExpiresUs())
 	}
 	s.orders.Load(img.GetOrders())
 	for _, c := range img.GetChanges() {
-		s.results[c.GetId()] = c.GetResult()
-		s.ids = append(s.ids, c.GetId())
+		s.changeResults[c.GetId()] = c.GetResult()
+		s.changeIDs = append(s.changeIDs, c.GetId())
 	}
 	return nil
 }
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -1,5 +1,6 @@
-// Package state is the replicated state machine: the configuration in force,
-// the claims of idempotency keys and the orders to upstreams.
+// Package state implements the replicated state machine of the control group. It holds the
+// configuration, the claims on idempotency keys, the orders to upstreams, the upstream roster
+// and the bans.
 package state
 
 import (
@@ -17,59 +18,59 @@
 
 // Result codes of commands.
 const (
-	OK       = "ok"       // Done; a claim is the caller's.
-	Running  = "running"  // The claim is held and its run is not finished.
-	Finished = "finished" // The claim's run has finished.
-	Mismatch = "mismatch" // The key was claimed with another body.
-	Conflict = "conflict" // Another change holds the version.
-	Invalid  = "invalid"  // The document can't be put in force.
-	Gone     = "gone"     // No such claim, or held by another.
-	Full     = "full"     // No room for another claim.
+	OK       = "ok"       // The command took effect; a claim belongs to the caller.
+	Running  = "running"  // The key is claimed and its run has not finished.
+	Finished = "finished" // The key is claimed and its run has finished.
+	Mismatch = "mismatch" // The key was claimed with a different request body.
+	Conflict = "conflict" // The change was made from a version that is no longer in force.
+	Invalid  = "invalid"  // The command or its document is invalid.
+	Gone     = "gone"     // The claim is missing, was freed or does not match.
+	Full     = "full"     // MaxClaims claims are already stored.
 )
 
-// NotRun is the outcome that frees a claim.
+// NotRun is the outcome of a request that was never sent to an upstream. It frees the claim.
 const NotRun = "not-run"
 
-// freedKeep is how long a freed claim is remembered, in microseconds: longer
-// than a copy of its claim or finish can be under way.
-const freedKeep = int64(time.Minute / time.Microsecond)
+// freedClaimRetentionUs is how long a freed claim is stored, in microseconds. It exceeds the
+// time for which a duplicate of the Claim or Finish command can be in transit.
+const freedClaimRetentionUs = int64(time.Minute / time.Microsecond)
 
-// MaxClaims bounds the claims that are remembered. Without a bound a burst of
-// keys, kept for a day, would take the memory of every replica at once, and
-// with it every claim; with it the claims beyond are refused before they run.
-// At 300 bytes each they stay within 128 MB.
+// MaxClaims limits the number of stored claims. Without a limit, a burst of keys that are kept
+// for a day could exhaust the memory of all replicas at once and lose every claim. With it,
+// requests over the limit are refused before they run. At 300 bytes per claim, the claims need
+// at most 128 MB.
 const MaxClaims = 400000
 
-// MaxChanges is how many change ids are remembered, so that a change sent
-// again gets the answer of the first time.
-const MaxChanges = 4096
+// MaxChangeResults is the number of changes whose results are stored, so that a change that is
+// sent again gets its original result.
+const MaxChangeResults = 4096
 
 type (
-	// State is the machine. Equal commands in equal order make equal states; it
-	// reads no clock. The zero value is empty and ready.
+	// State is the replicated state machine. It reads no clock, and the same commands in the
+	// same order always produce the same state. The zero value is empty and ready to use.
 	State struct {
-		version  uint64
-		change   string
-		document []byte
-		claims   map[claimKey]*wire.ClaimState
-		results  map[string]*wire.Result
-		ids      []string // Change ids, oldest first.
-		orders   order.Order
-		clock    int64 // Highest leader's clock seen, in microseconds.
-		ends     ends
+		configVersion  uint64
+		changeID       string
+		configDocument []byte
+		claims         map[claimKey]*wire.ClaimState
+		changeResults  map[string]*wire.Result
+		changeIDs      []string // Keys of changeResults, oldest first.
+		orders         order.Order
+		clockUs        int64 // Highest leader time in any command so far.
+		expiries       expiryHeap
 
-		published   uint64 // Version of the publication.
-		publication []byte
-		roster      roster.Roster
-		bans        bans
+		publicationVersion uint64 // Zero before the first publication.
+		publication        []byte
+		roster             roster.Roster
+		bans               bans
 	}
 
 	claimKey struct{ account, key string }
 )
 
-// Apply runs one command.
+// Apply executes one command and returns its result.
 func (s *State) Apply(c *wire.Command) *wire.Result {
-	s.clock = max(s.clock, c.GetClaim().GetNowUs(), c.GetFinish().GetNowUs(), c.GetExpire().GetNowUs(), c.GetOrderStart().GetNowUs())
+	s.clockUs = max(s.clockUs, c.GetClaim().GetNowUs(), c.GetFinish().GetNowUs(), c.GetExpire().GetNowUs(), c.GetOrderStart().GetNowUs())
 	switch k := c.GetKind().(type) {
 	case *wire.Command_Claim:
 		return s.claim(k.Claim)
@@ -78,7 +79,7 @@
 	case *wire.Command_Expire:
 		return s.expire()
 	case *wire.Command_Change:
-		return s.changed(c.GetId(), k.Change)
+		return s.applyChange(c.GetId(), k.Change)
 	case *wire.Command_OrderStart:
 		return s.orders.Start(c.GetId(), k.OrderStart)
 	case *wire.Command_OrderEnd:
@@ -96,11 +97,11 @@
 	return &wire.Result{Code: Invalid, Text: fmt.Sprintf("state: no such command %T", c.GetKind())}
 }
 
-// Judge checks the document of a change and writes the verdict into the
-// command. The leader does it once, before the command enters the log: replicas
-// of unlike program versions may judge a document differently, and their states
-// would part if each judged for itself.
-func Judge(c *wire.Command) {
+// Validate checks the document of a Change command and stores the error, if any, in the command.
+// It does nothing for other commands. The leader calls it once, before the command is appended
+// to the log. Replicas that run different program versions may validate a document differently,
+// so their states would diverge if each replica validated it.
+func Validate(c *wire.Command) {
 	k := c.GetChange()
 	if k == nil {
 		return
@@ -115,47 +116,52 @@
 	}
 }
 
-// Version is the number of the configuration in force, zero before the first.
-func (s *State) Version() uint64 { return s.version }
+// Version returns the version of the configuration in force, or zero before the first one.
+func (s *State) Version() uint64 { return s.configVersion }
 
-// Change is the id of the change in force.
-func (s *State) Change() string { return s.change }
+// ChangeID returns the id of the change that set the configuration in force.
+func (s *State) ChangeID() string { return s.changeID }
 
-// Document is the set in force. The caller must not change it.
-func (s *State) Document() []byte { return s.document }
+// Document returns the configuration in force as JSON. The caller must not modify it.
+func (s *State) Document() []byte { return s.configDocument }
 
-// Clock is the highest leader's clock that the state has seen, in microseconds.
-func (s *State) Clock() int64 { return s.clock }
+// ClockUs returns the highest leader time in any command so far, in microseconds.
+func (s *State) ClockUs() int64 { return s.clockUs }
 
-// Due reports whether a finished claim's time is over at a leader's clock.
-func (s *State) Due(nowUs int64) bool { return len(s.ends) > 0 && s.ends[0].at <= nowUs }
+// HasExpiredClaims reports whether an Expire command at the leader time nowUs, in microseconds,
+// would have work to do. It may also return true for an outdated heap entry of a claim that has
+// since been extended.
+func (s *State) HasExpiredClaims(nowUs int64) bool {
+	return len(s.expiries) > 0 && s.expiries[0].atUs <= nowUs
+}
 
-// Claims is the number of claims remembered.
-func (s *State) Claims() int { return len(s.claims) }
+// ClaimCount returns the number of stored claims, including finished and freed ones.
+func (s *State) ClaimCount() int { return len(s.claims) }
 
-// Publication is the published document of the highest version and its version,
-// zero before the first. The caller must not change it.
-func (s *State) Publication() (uint64, []byte) { return s.published, s.publication }
+// Publication returns the published document with the highest version and that version, which
+// is zero before the first publication. The caller must not modify the document.
+func (s *State) Publication() (uint64, []byte) { return s.publicationVersion, s.publication }
 
-// Roster lists the upstreams. The caller must not change it.
+// Roster returns the list of upstreams. The caller must not modify it.
 func (s *State) Roster() *roster.Roster { return &s.roster }
 
-// publish keeps the document of the highest version. The result names the
-// version in force, which tells the sender of an older one that it was overtaken.
+// publish stores the document if its version is the highest so far. The result has the highest
+// version, so the sender of an older document learns that it was superseded.
 func (s *State) publish(p *wire.Publish) *wire.Result {
-	if p.GetVersion() > s.published {
-		s.published, s.publication = p.GetVersion(), p.GetDocument()
+	if p.GetVersion() > s.publicationVersion {
+		s.publicationVersion, s.publication = p.GetVersion(), p.GetDocument()
 	}
-	return &wire.Result{Code: OK, Version: s.published}
+	return &wire.Result{Code: OK, Version: s.publicationVersion}
 }
 
+// claim assigns a free key to a request, or returns the state of the existing claim.
 func (s *State) claim(c *wire.Claim) *wire.Result {
 	k := claimKey{c.GetAccount(), c.GetKey()}
 	old, ok := s.claims[k]
-	same := old.GetHolder() == c.GetHolder() && old.GetRequest() == c.GetRequest()
-	if old.GetOutcome() == NotRun && same {
-		// A late copy of the claim must not take the key again: nobody would
-		// ever finish it, and the caller was told to send the request anew.
+	sameRequest := old.GetHolder() == c.GetHolder() && old.GetRequest() == c.GetRequest()
+	if old.GetOutcome() == NotRun && sameRequest {
+		// A delayed duplicate of a freed claim must not claim the key again. The claim would
+		// never be finished, and the client was already told to send the request again.
 		return &wire.Result{Code: Gone}
 	}
 	if !ok || old.GetOutcome() == NotRun {
@@ -168,32 +174,34 @@
 		s.claims[k] = &wire.ClaimState{
 			Account: c.GetAccount(), Key: c.GetKey(), BodyHash: c.GetBodyHash(), Holder: c.GetHolder(),
 			Address: c.GetAddress(), KeepUs: c.GetKeepUs(), Request: c.GetRequest(),
-			ExpiresUs: claimEnd(c),
+			ExpiresUs: claimExpiryUs(c),
 		}
-		s.endsAt(k, claimEnd(c))
+		s.scheduleExpiry(k, claimExpiryUs(c))
 		return &wire.Result{Code: OK, Holder: c.GetHolder()}
 	}
 	if old.GetBodyHash() != c.GetBodyHash() {
 		return &wire.Result{Code: Mismatch, Text: "the key was used with another body"}
 	}
-	// The same holder and request again is a claim whose answer was lost: it
-	// gets the answer of the first time, or the entry would join itself.
-	if same && old.GetOutcome() == "" {
+	// The same holder and request claim again when the first reply was lost. They get the
+	// original result; otherwise the entry would try to join its own run.
+	if sameRequest && old.GetOutcome() == "" {
 		return &wire.Result{Code: OK, Holder: c.GetHolder()}
 	}
-	return held(old)
+	return claimResult(old)
 }
 
-// Holder tells who holds a key, as a claim would be told; OK when no one does.
-func (s *State) Holder(account, key string) *wire.Result {
+// ClaimHolder returns the result that a competing claim on the key would get: Running or Finished
+// with the holder, or OK if the key is free.
+func (s *State) ClaimHolder(account, key string) *wire.Result {
 	c, ok := s.claims[claimKey{account, key}]
 	if !ok || c.GetOutcome() == NotRun {
 		return &wire.Result{Code: OK}
 	}
-	return held(c)
+	return claimResult(c)
 }
 
-func held(old *wire.ClaimState) *wire.Result {
+// claimResult describes an existing claim to another request for the same key.
+func claimResult(old *wire.ClaimState) *wire.Result {
 	code := Running
 	if old.GetOutcome() != "" {
 		code = Finished
@@ -203,19 +211,20 @@
 	}
 }
 
-// claimEnd is when a claim ends whose holder never records an outcome, because
-// it died; without one such claims would pile up for ever. A claim that its
-// leader gave no time never ends: ended too early, its key could run twice.
-func claimEnd(c *wire.Claim) int64 {
+// claimExpiryUs returns the leader time, in microseconds, at which a claim expires if its holder
+// crashes and never records an outcome. Without an expiry, such claims would accumulate. A claim
+// without a leader time never expires (zero), because a request whose claim expires too early
+// could run twice.
+func claimExpiryUs(c *wire.Claim) int64 {
 	if c.GetNowUs() == 0 {
 		return 0
 	}
 	return c.GetNowUs() + c.GetKeepUs()
 }
 
-// finish records an outcome once. A finish that comes late must not touch the
-// claim of a newer request of the same entry, and one that says not-run must
-// not free a key whose run is on record: either would let the key run twice.
+// finish records the outcome of a claim; only the first outcome counts. A delayed Finish must not
+// change the claim of a newer request of the same entry, and a Finish with NotRun must not free a
+// key whose run is already recorded. In both cases the request could run twice.
 func (s *State) finish(f *wire.Finish) *wire.Result {
 	k := claimKey{f.GetAccount(), f.GetKey()}
 	c, ok := s.claims[k]
@@ -229,58 +238,61 @@
 	default:
 		return &wire.Result{Code: Gone}
 	}
-	// An image that is being written may hold the old message.
+	// An image that is being encoded may still refer to the old message.
 	c = proto.CloneOf(c)
 	s.claims[k] = c
 	c.Outcome = f.GetOutcome()
-	c.ExpiresUs = s.clock + c.GetKeepUs()
+	c.ExpiresUs = s.clockUs + c.GetKeepUs()
 	if c.GetOutcome() == NotRun {
-		// Nothing ran, so the key is free again: the caller was told that it
-		// may send the request a second time.
-		c.ExpiresUs = s.clock + freedKeep
+		// The request did not run, so its key is free again: the client was told that it may
+		// send the request a second time.
+		c.ExpiresUs = s.clockUs + freedClaimRetentionUs
 	}
-	s.endsAt(k, c.GetExpiresUs())
+	s.scheduleExpiry(k, c.GetExpiresUs())
 	return &wire.Result{Code: OK}
 }
 
+// expire deletes the claims whose expiry time has passed.
 func (s *State) expire() *wire.Result {
-	for s.Due(s.clock) {
-		k := heap.Pop(&s.ends).(end).key
-		if c := s.claims[k]; c.GetExpiresUs() > 0 && c.GetExpiresUs() <= s.clock {
+	for s.HasExpiredClaims(s.clockUs) {
+		k := heap.Pop(&s.expiries).(expiry).key
+		if c := s.claims[k]; c.GetExpiresUs() > 0 && c.GetExpiresUs() <= s.clockUs {
 			delete(s.claims, k)
 		}
 	}
 	return &wire.Result{Code: OK}
 }
 
-// changed puts a new document in force if its base is still the version in
-// force. Two operators who start from the same version can't both win.
-func (s *State) changed(id string, c *wire.Change) *wire.Result {
-	if r, ok := s.results[id]; ok {
+// applyChange puts a new configuration in force if its base is the version in force. Of two
+// operators who start from the same version, only one succeeds. A change that is sent again gets
+// its original result.
+func (s *State) applyChange(id string, c *wire.Change) *wire.Result {
+	if r, ok := s.changeResults[id]; ok {
 		return proto.CloneOf(r)
 	}
-	r := s.decide(id, c)
-	if s.results == nil {
-		s.results = map[string]*wire.Result{}
+	r := s.decideChange(id, c)
+	if s.changeResults == nil {
+		s.changeResults = map[string]*wire.Result{}
 	}
-	s.results[id] = r
-	s.ids = append(s.ids, id)
-	if len(s.ids) > MaxChanges {
-		delete(s.results, s.ids[0])
-		s.ids = s.ids[1:]
+	s.changeResults[id] = r
+	s.changeIDs = append(s.changeIDs, id)
+	if len(s.changeIDs) > MaxChangeResults {
+		delete(s.changeResults, s.changeIDs[0])
+		s.changeIDs = s.changeIDs[1:]
 	}
 	return proto.CloneOf(r)
 }
 
-func (s *State) decide(id string, c *wire.Change) *wire.Result {
-	if c.GetBase() != s.version {
-		return &wire.Result{Code: Conflict, Version: s.version, Winner: s.change, Text: "made from another version"}
+// decideChange executes a change that has no stored result.
+func (s *State) decideChange(id string, c *wire.Change) *wire.Result {
+	if c.GetBase() != s.configVersion {
+		return &wire.Result{Code: Conflict, Version: s.configVersion, Winner: s.changeID, Text: "made from another version"}
 	}
 	if c.GetInvalid() != "" {
-		return &wire.Result{Code: Invalid, Version: s.version, Text: c.GetInvalid()}
+		return &wire.Result{Code: Invalid, Version: s.configVersion, Text: c.GetInvalid()}
 	}
-	s.version++
-	s.change = id
-	s.document = c.GetDocument()
-	return &wire.Result{Code: OK, Version: s.version, Winner: id}
+	s.configVersion++
+	s.changeID = id
+	s.configDocument = c.GetDocument()
+	return &wire.Result{Code: OK, Version: s.configVersion, Winner: id}
 }
--- a/core/state/state_test.go
+++ b/core/state/state_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	_ = flag.Set("rapid.seed", "1") // The same runs each time.
+	_ = flag.Set("rapid.seed", "1") // Makes runs reproducible.
 	_ = flag.Set("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
@@ -44,11 +44,11 @@
 	return &wire.Command{Id: id, Kind: &wire.Command_Change{Change: &wire.Change{Base: base, Document: []byte(doc)}}}
 }
 
-const doc = `{"base":{"client-accounts":{},"tiers":{},"pools":{"notes":{"service":"notes"}}},"overlays":{"north":{}}}`
+const testDocument = `{"base":{"client-accounts":{},"tiers":{},"pools":{"notes":{"service":"notes"}}},"overlays":{"north":{}}}`
 
-// Each row is what an entry and its callers see when commands are applied in
-// this order. Late copies come from an entry that lost an answer and asked the
-// next replica while the first copy was still under way.
+// Guards against keys that run twice or stay blocked. Delayed duplicates arise when an entry
+// process loses a reply and sends its command to the next replica while the first copy is in
+// transit.
 func TestClaims(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -80,88 +80,89 @@
 		{"no time, no end", []*wire.Command{claim("e1", 1), expire(1 << 60), claim("e2", 1)}, Running},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			all := codes(&State{}, tt.run...)
+			all := applyAll(&State{}, tt.run...)
 			must.Eq(t, tt.want, all[len(all)-1])
 		})
 	}
 }
 
-// codes applies commands and returns what became of each.
-func codes(s *State, cmds ...*wire.Command) (all []string) {
+// applyAll applies commands and returns their result codes.
+func applyAll(s *State, cmds ...*wire.Command) (all []string) {
 	for _, c := range cmds {
 		all = append(all, s.Apply(c).GetCode())
 	}
 	return all
 }
 
-// An entry gives up request 1 before dispatch and frees its key. The caller
-// sends again, the same entry claims for request 2 and runs it. Then the first
-// "not-run" arrives a second time, because its answer had been lost. If it
-// freed the claim of request 2, a third submission would run the key again.
-func TestLateFinishFreesNoOtherRequest(t *testing.T) {
+// An entry process gives up request 1 before dispatch and frees its key. The client sends the
+// request again, and the same process claims the key for request 2 and runs it. Then a duplicate of
+// the first "not-run" arrives, because the reply to the first copy was lost. If it freed the claim
+// of request 2, a third submission would run the request a second time.
+func TestLateFinishDoesNotFreeNewerClaim(t *testing.T) {
 	var s State
-	must.Eq(t, []string{OK}, codes(&s, claim("e", 1)))
-	must.Eq(t, Running, s.Holder("a", "k").GetCode())
-	must.Eq(t, []string{OK}, codes(&s, finish("e", 1, NotRun, 0)))
-	must.Eq(t, OK, s.Holder("a", "k").GetCode())
-	must.Eq(t, []string{OK, Gone}, codes(&s, claim("e", 2), finish("e", 1, NotRun, 0)))
+	must.Eq(t, []string{OK}, applyAll(&s, claim("e", 1)))
+	must.Eq(t, Running, s.ClaimHolder("a", "k").GetCode())
+	must.Eq(t, []string{OK}, applyAll(&s, finish("e", 1, NotRun, 0)))
+	must.Eq(t, OK, s.ClaimHolder("a", "k").GetCode())
+	must.Eq(t, []string{OK, Gone}, applyAll(&s, claim("e", 2), finish("e", 1, NotRun, 0)))
 	r := s.Apply(claim("other", 9))
 	must.Eq(t, Running, r.GetCode())
 	must.Eq(t, uint64(2), r.GetRequest())
 }
 
-// A joiner asks the holder in the moment after its answer was dropped, hears
-// that nothing is held and frees the key as not run. The holder's "whole" was
-// recorded before: it must stand, also sent again, or the key would run twice.
-func TestFirstOutcomeStands(t *testing.T) {
+// An entry process that wants to join a run asks the holder just after the holder has dropped the
+// answer. It learns that there is no such run and frees the key as not run. The outcome "whole"
+// that the holder recorded earlier must not change, also when it is recorded again; otherwise the
+// request could run twice.
+func TestFirstOutcomeIsFinal(t *testing.T) {
 	var s State
-	must.Eq(t, []string{OK, OK, Gone, OK}, codes(&s,
+	must.Eq(t, []string{OK, OK, Gone, OK}, applyAll(&s,
 		claim("e", 1), finish("e", 1, "whole", 0), finish("e", 1, NotRun, 0), finish("e", 1, "whole", 0)))
 	r := s.Apply(claim("other", 9))
 	must.Eq(t, Finished, r.GetCode())
 	must.Eq(t, "whole", r.GetOutcome())
 }
 
-// The holder dies in mid-run and never records an outcome. Its claim must not
-// stay for ever: the log would grow with each death, and the key would be
-// stuck. It ends one keep time after it was made, which the entries set longer
-// than the longest run.
+// A holder crashes during a run and never records an outcome. Its claim must not stay for ever:
+// the state would grow with each crash, and the key would stay blocked. The claim expires one keep
+// time after it was made; entry processes set a keep time longer than the longest run.
 func TestUnfinishedClaimExpires(t *testing.T) {
 	var s State
 	dead := claim("dead", 1)
 	dead.GetClaim().NowUs = 1000
 	end := 1000 + time.Hour.Microseconds()
-	must.Eq(t, []string{OK, OK, Running, OK}, codes(&s, dead, expire(end-1), claim("other", 9), expire(end)))
-	must.Eq(t, 0, s.Claims())
-	must.Eq(t, []string{OK}, codes(&s, claim("other", 9)))
+	must.Eq(t, []string{OK, OK, Running, OK}, applyAll(&s, dead, expire(end-1), claim("other", 9), expire(end)))
+	must.Eq(t, 0, s.ClaimCount())
+	must.Eq(t, []string{OK}, applyAll(&s, claim("other", 9)))
 }
 
-// Two operators change version 1 at once. One wins; the other learns who did.
-// Each sends the change again, for it lost the answer, and gets the same.
-func TestChangesRace(t *testing.T) {
+// Two operators change version 1 at the same time. One succeeds; the other gets the id of the
+// change that won. Both lose the reply and send their change again: they must get the original
+// results, also from a replica that was restored from an image.
+func TestConcurrentChanges(t *testing.T) {
 	var s State
-	must.Eq(t, 1, s.Apply(change("first", 0, doc)).GetVersion())
-	won, lost := s.Apply(change("ann", 1, doc)), s.Apply(change("bob", 1, doc))
+	must.Eq(t, 1, s.Apply(change("first", 0, testDocument)).GetVersion())
+	won, lost := s.Apply(change("ann", 1, testDocument)), s.Apply(change("bob", 1, testDocument))
 	must.True(t, equal(&wire.Result{Code: OK, Version: 2, Winner: "ann"}, won))
 	must.Eq(t, Conflict, lost.GetCode())
 	must.Eq(t, "ann", lost.GetWinner())
-	s.Apply(change("carl", 2, doc))
-	var after State
-	img, err := Encode(s.Image())
+	s.Apply(change("carl", 2, testDocument))
+	var restored State
+	img, err := EncodeImage(s.Image())
 	must.NoError(t, err)
-	must.NoError(t, after.Load(img))
-	for _, m := range []*State{&s, &after} {
-		must.True(t, equal(won, m.Apply(change("ann", 1, doc))))
-		must.True(t, equal(lost, m.Apply(change("bob", 1, doc))))
+	must.NoError(t, restored.Load(img))
+	for _, m := range []*State{&s, &restored} {
+		must.True(t, equal(won, m.Apply(change("ann", 1, testDocument))))
+		must.True(t, equal(lost, m.Apply(change("bob", 1, testDocument))))
 		must.Eq(t, 3, m.Version())
 	}
 }
 
-// A change that fits the base but breaks one site's overlay is refused for all.
-func TestOverlayOfOneSiteIsChecked(t *testing.T) {
+// A change whose base is valid must be rejected if the overlay of one data centre is invalid.
+func TestOverlayIsValidated(t *testing.T) {
 	var s State
 	c := change("x", 0, `{"base":{"client-accounts":{},"tiers":{},"pools":{}},"overlays":{"south":{"tiers":{"t":{"level":9}}}}}`)
-	Judge(c)
+	Validate(c)
 	r := s.Apply(c)
 	must.Eq(t, Invalid, r.GetCode())
 	must.StrContains(t, r.GetText(), "south")
@@ -169,11 +170,11 @@
 	must.Eq(t, 0, s.Version())
 }
 
-// A replica that restarts from an image at any point goes on exactly like one
-// that applied every command.
-func TestImageIsTheState(t *testing.T) {
+// Guards against state that is missing from the image: a replica that is restored from an image
+// after every command must stay identical to one that only applies the commands.
+func TestRestoreFromImage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var whole, cut State
+		var reference, restored State
 		now := int64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			now += rapid.Int64Range(0, 40*time.Minute.Microseconds()).Draw(t, "pass")
@@ -181,48 +182,47 @@
 			request := rapid.Uint64Range(1, 3).Draw(t, "request")
 			c := rapid.SampledFrom([]*wire.Command{
 				claim(holder, request), finish(holder, request, "whole", now), finish(holder, request, NotRun, now), expire(now),
-				change(holder, request, doc),
+				change(holder, request, testDocument),
 				{Id: "order-" + strconv.FormatUint(request, 10), Kind: &wire.Command_OrderStart{OrderStart: &wire.OrderStart{Upstream: holder, NowUs: now}}},
 				{Kind: &wire.Command_OrderEnd{OrderEnd: &wire.OrderEnd{Upstream: holder, Fence: request, Outcome: "done"}}},
 			}).Draw(t, "command")
-			if a, b := whole.Apply(c), cut.Apply(c); !equal(a, b) {
+			if a, b := reference.Apply(c), restored.Apply(c); !equal(a, b) {
 				t.Fatalf("%v and %v", a, b)
 			}
-			img, _ := Encode(cut.Image())
-			if all, _ := Encode(whole.Image()); !bytes.Equal(img, all) {
+			img, _ := EncodeImage(restored.Image())
+			if all, _ := EncodeImage(reference.Image()); !bytes.Equal(img, all) {
 				t.Fatal("images differ")
 			}
-			if err := cut.Load(img); err != nil {
+			if err := restored.Load(img); err != nil {
 				t.Fatal(err)
 			}
 		}
 	})
 }
 
-// More keys come than control has room for. The one beyond is refused before
-// it runs; keys that are known are answered as before, and when claims end
-// there is room again.
+// When MaxClaims claims are stored, a claim on a new key must be refused before its request runs.
+// Known keys are still answered, and new claims are accepted again once others have expired.
 func TestClaimsAreBounded(t *testing.T) {
-	s := filled(MaxClaims)
+	s := stateWithClaims(MaxClaims)
 	must.Eq(t, Full, s.Apply(claim("e", 1)).GetCode())
-	must.Eq(t, MaxClaims, s.Claims())
+	must.Eq(t, MaxClaims, s.ClaimCount())
 	s.Apply(expire(1<<40 + 1))
 	must.Eq(t, OK, s.Apply(claim("e", 1)).GetCode())
 }
 
-// A snapshot is written while commands go on. What it holds is the state from
-// when it was taken, whatever they change meanwhile.
-func TestImageStandsStill(t *testing.T) {
-	s := filled(3)
+// A snapshot is encoded while further commands are applied. It must contain the state from the time
+// when the image was taken.
+func TestImageIsImmutable(t *testing.T) {
+	s := stateWithClaims(3)
 	s.Apply(claim("e", 1))
-	s.Apply(change("c", 0, doc))
+	s.Apply(change("c", 0, testDocument))
 	img := s.Image()
-	before, err := Encode(proto.CloneOf(img))
+	before, err := EncodeImage(proto.CloneOf(img))
 	must.NoError(t, err)
 	s.Apply(finish("e", 1, "whole", 5))
-	s.Apply(change("d", 1, doc))
+	s.Apply(change("d", 1, testDocument))
 	s.Apply(expire(1 << 50))
-	after, err := Encode(img)
+	after, err := EncodeImage(img)
 	must.NoError(t, err)
 	must.True(t, bytes.Equal(before, after))
 }
