--- a/core/roster/bench_test.go
+++ b/core/roster/bench_test.go
@@ -7,8 +7,8 @@
 	"azurelane/core/wire"
 )
 
-// BenchmarkSince is one change of 3,000 upstreams and what is told of it to 300 entries.
-// Purpose: well below a millisecond, as changes come in hundreds when servers start anew.
+// BenchmarkSince changes one of 3,000 upstreams and lists the change for 300 entries. It should
+// take well under a millisecond, because a restart of many servers causes hundreds of changes.
 func BenchmarkSince(b *testing.B) {
 	var r Roster
 	for i := range 3000 {
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster is the replicated list of upstreams: who exists, where, and
-// whether it leaves. It is part of the replicated state machine.
+// Package roster implements the replicated list of upstreams with their addresses and states. It
+// is part of the replicated state machine.
 package roster
 
 import (
@@ -9,126 +9,133 @@
 	"azurelane/core/wire"
 )
 
-// keepGone is how many upstreams that are gone stay listed. A late announcement
-// of one of them must not bring it back, and those come seconds late; at a
-// release of all servers of a large deployment some hundred end in that time.
-const keepGone = 512
+// maxGone is the number of upstreams in STATE_GONE that stay in the list as tombstones. An
+// announcement can arrive seconds after its upstream has gone and must not revive it. When a large
+// deployment replaces all its servers, some hundred upstreams stop within that time.
+const maxGone = 512
 
-// Roster holds upstreams by id. The zero value is empty and ready.
+// Roster holds upstreams by id. The zero value is empty and ready to use.
 type Roster struct {
-	ups      map[string]*wire.Upstream
-	order    []*wire.Upstream // By revision, with some that were replaced or dropped since.
-	gone     []string         // Oldest first.
-	revision uint64           // Counts changes.
-	dropped  uint64           // Revision of the newest upstream that was dropped from gone.
+	upstreams       map[string]*wire.Upstream
+	byRevision      []*wire.Upstream // May contain outdated and dropped versions.
+	goneIDs         []string         // Ids of the tombstones, oldest first.
+	revision        uint64           // Number of changes so far.
+	droppedRevision uint64           // Highest revision of a dropped tombstone.
 }
 
-// Enroll takes what is known of an upstream and reports whether that is new.
-// An upstream that leaves never serves again, and one that is gone never comes
-// back, however late its announcements arrive. One that has started again under
-// its id is another incarnation, of which nothing of that holds.
+// Enroll records the state of an upstream and reports whether it changed the roster. Empty fields
+// keep their known values. Within one incarnation, the state only moves from serving to leaving to
+// gone, however late announcements arrive. An upstream that restarts under the same id is a new
+// incarnation and starts from any state.
 func (r *Roster) Enroll(u *wire.Upstream) bool {
-	old := r.ups[u.GetId()]
+	old := r.upstreams[u.GetId()]
 	if u.GetId() == "" || Stale(old, u) {
 		return false
 	}
-	if Reborn(old, u) {
-		r.gone = slices.DeleteFunc(r.gone, func(id string) bool { return id == u.GetId() })
+	if Restarted(old, u) {
+		r.goneIDs = slices.DeleteFunc(r.goneIDs, func(id string) bool { return id == u.GetId() })
 		old = nil
 	}
-	if old.GetState() > u.GetState() || Same(old, u) {
+	if old.GetState() > u.GetState() || Unchanged(old, u) {
 		return false
 	}
-	if r.ups == nil {
-		r.ups = map[string]*wire.Upstream{}
+	if r.upstreams == nil {
+		r.upstreams = map[string]*wire.Upstream{}
 	}
 	r.revision++
-	r.ups[u.GetId()] = &wire.Upstream{
+	r.upstreams[u.GetId()] = &wire.Upstream{
 		Id: u.GetId(), Address: cmp.Or(u.GetAddress(), old.GetAddress()), Pool: cmp.Or(u.GetPool(), old.GetPool()),
 		DataCentre: cmp.Or(u.GetDataCentre(), old.GetDataCentre()), Slots: cmp.Or(u.GetSlots(), old.GetSlots()),
 		State: u.GetState(), Revision: r.revision, Born: cmp.Or(u.GetBorn(), old.GetBorn()),
 	}
-	r.order = append(r.order, r.ups[u.GetId()])
+	r.byRevision = append(r.byRevision, r.upstreams[u.GetId()])
 	if u.GetState() == wire.Upstream_STATE_GONE {
-		r.gone = append(r.gone, u.GetId())
-		r.forget()
+		r.goneIDs = append(r.goneIDs, u.GetId())
+		r.dropOldestGone()
 	}
-	if len(r.order) > 2*len(r.ups)+keepGone {
-		r.order = slices.DeleteFunc(r.order, r.replaced)
+	if len(r.byRevision) > 2*len(r.upstreams)+maxGone {
+		r.byRevision = slices.DeleteFunc(r.byRevision, r.isOutdated)
 	}
 	return true
 }
 
-// replaced reports whether something newer is known of an upstream, or nothing any more.
-func (r *Roster) replaced(u *wire.Upstream) bool { return r.ups[u.GetId()] != u }
+// isOutdated reports whether an element of byRevision was superseded by a newer one or dropped.
+func (r *Roster) isOutdated(u *wire.Upstream) bool { return r.upstreams[u.GetId()] != u }
 
-// Reborn reports whether a, heard of an upstream that is known as b, comes from a
-// later incarnation. The starts decide, as each incarnation tells its own; the
-// order in which announcements arrive, and their numbers, which begin anew, say
-// nothing. One that tells no start belongs to the incarnation that is known.
-func Reborn(b, a *wire.Upstream) bool { return b != nil && a.GetBorn() > b.GetBorn() }
+// Restarted reports whether heard comes from a later incarnation of the upstream than known. It
+// compares the start times of the incarnations. The order of arrival can't decide this, nor can
+// the sequence numbers of announcements, which start again with each incarnation. An announcement
+// without a start time belongs to the known incarnation.
+func Restarted(known, heard *wire.Upstream) bool {
+	return known != nil && heard.GetBorn() > known.GetBorn()
+}
 
-// Stale reports whether a comes from an incarnation before the one known as b.
-func Stale(b, a *wire.Upstream) bool { return a.GetBorn() != 0 && a.GetBorn() < b.GetBorn() }
+// Stale reports whether heard comes from an earlier incarnation of the upstream than known.
+func Stale(known, heard *wire.Upstream) bool {
+	return heard.GetBorn() != 0 && heard.GetBorn() < known.GetBorn()
+}
 
-// Same reports whether a tells nothing beyond what is known as b.
-func Same(b, a *wire.Upstream) bool {
-	return b != nil && b.GetState() == a.GetState() && (a.GetAddress() == "" || b.GetAddress() == a.GetAddress()) &&
-		(a.GetPool() == "" || b.GetPool() == a.GetPool()) && (a.GetSlots() == 0 || b.GetSlots() == a.GetSlots())
+// Unchanged reports whether heard has the same state as known and no new address, pool or number of
+// slots. Empty fields of heard count as unchanged.
+func Unchanged(known, heard *wire.Upstream) bool {
+	return known != nil && known.GetState() == heard.GetState() && (heard.GetAddress() == "" || known.GetAddress() == heard.GetAddress()) &&
+		(heard.GetPool() == "" || known.GetPool() == heard.GetPool()) && (heard.GetSlots() == 0 || known.GetSlots() == heard.GetSlots())
 }
 
-func (r *Roster) forget() {
-	for len(r.gone) > keepGone {
-		r.dropped = max(r.dropped, r.ups[r.gone[0]].GetRevision())
-		delete(r.ups, r.gone[0])
-		r.gone = r.gone[1:]
+// dropOldestGone deletes the oldest tombstones in excess of maxGone.
+func (r *Roster) dropOldestGone() {
+	for len(r.goneIDs) > maxGone {
+		r.droppedRevision = max(r.droppedRevision, r.upstreams[r.goneIDs[0]].GetRevision())
+		delete(r.upstreams, r.goneIDs[0])
+		r.goneIDs = r.goneIDs[1:]
 	}
 }
 
-// Find returns an upstream, or nil.
-func (r *Roster) Find(id string) *wire.Upstream { return r.ups[id] }
+// Find returns the upstream with an id, or nil.
+func (r *Roster) Find(id string) *wire.Upstream { return r.upstreams[id] }
 
-// Revision grows with each change.
+// Revision returns the revision of the roster, which grows by one with each change.
 func (r *Roster) Revision() uint64 { return r.revision }
 
-// Since lists what has changed after a revision, in the order of the changes.
-// Whole is set when the list has all upstreams that are not gone instead,
-// because the roster no longer knows all that has ended since.
-func (r *Roster) Since(revision uint64) (list []*wire.Upstream, whole bool) {
-	whole = revision == 0 || revision < r.dropped || revision > r.revision
+// Since lists the upstreams that changed after a revision, in order of their revisions. If full is
+// set, the list contains all upstreams that are not gone instead. This is the case for revision
+// zero, for a revision that the roster has not reached, and if tombstones newer than the revision
+// were dropped.
+func (r *Roster) Since(revision uint64) (list []*wire.Upstream, full bool) {
+	full = revision == 0 || revision < r.droppedRevision || revision > r.revision
 	from := 0
-	if !whole {
-		from, _ = slices.BinarySearchFunc(r.order, revision+1, func(u *wire.Upstream, rev uint64) int {
+	if !full {
+		from, _ = slices.BinarySearchFunc(r.byRevision, revision+1, func(u *wire.Upstream, rev uint64) int {
 			return cmp.Compare(u.GetRevision(), rev)
 		})
 	}
-	for _, u := range r.order[from:] {
-		if r.replaced(u) || (whole && u.GetState() == wire.Upstream_STATE_GONE) {
+	for _, u := range r.byRevision[from:] {
+		if r.isOutdated(u) || (full && u.GetState() == wire.Upstream_STATE_GONE) {
 			continue
 		}
 		list = append(list, u)
 	}
-	return list, whole
+	return list, full
 }
 
-// Save lists all that Load needs.
+// Save returns the upstreams, with tombstones, in order of their revisions.
 func (r *Roster) Save() []*wire.Upstream {
-	return slices.DeleteFunc(slices.Clone(r.order), r.replaced)
+	return slices.DeleteFunc(slices.Clone(r.byRevision), r.isOutdated)
 }
 
-// Load replaces the roster by a saved one. Revisions are numbers of the log, so
-// they go on from the highest one.
+// Load replaces the roster by a saved list. Revisions are replicated state, so they continue
+// from the highest one in the list.
 func (r *Roster) Load(list []*wire.Upstream) {
-	*r = Roster{ups: make(map[string]*wire.Upstream, len(list)), order: slices.Clone(list)}
-	slices.SortFunc(r.order, func(a, b *wire.Upstream) int { return cmp.Compare(a.GetRevision(), b.GetRevision()) })
-	for _, u := range r.order {
-		r.ups[u.GetId()] = u
+	*r = Roster{upstreams: make(map[string]*wire.Upstream, len(list)), byRevision: slices.Clone(list)}
+	slices.SortFunc(r.byRevision, func(a, b *wire.Upstream) int { return cmp.Compare(a.GetRevision(), b.GetRevision()) })
+	for _, u := range r.byRevision {
+		r.upstreams[u.GetId()] = u
 		r.revision = max(r.revision, u.GetRevision())
 		if u.GetState() == wire.Upstream_STATE_GONE {
-			r.gone = append(r.gone, u.GetId())
+			r.goneIDs = append(r.goneIDs, u.GetId())
 		}
 	}
-	if len(r.gone) >= keepGone { // Some were dropped before the oldest of these.
-		r.dropped = r.ups[r.gone[0]].GetRevision()
+	if len(r.goneIDs) >= maxGone { // Older tombstones may have been dropped.
+		r.droppedRevision = r.upstreams[r.goneIDs[0]].GetRevision()
 	}
 }
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -9,14 +9,14 @@
 	"azurelane/core/wire"
 )
 
-func up(id string, state wire.Upstream_State) *wire.Upstream {
+func newUpstream(id string, state wire.Upstream_State) *wire.Upstream {
 	return &wire.Upstream{Id: id, Address: "10.0.0.1:80", Pool: "engines", Slots: 4, State: state}
 }
 
-// A server announces that it leaves, and that it is gone; announcements that it
-// sent before arrive seconds later, on another way. Callers would be sent to a
-// server that has ended if one of them brought it back.
-func TestLateAnnouncementBringsNothingBack(t *testing.T) {
+// A server announces that it is leaving and that it is gone. Announcements that it sent earlier
+// arrive seconds later over another path. If one of them revived the upstream, requests would be
+// sent to a server that has stopped.
+func TestLateAnnouncementDoesNotRevive(t *testing.T) {
 	const serving, leaving, gone = wire.Upstream_STATE_SERVING, wire.Upstream_STATE_LEAVING, wire.Upstream_STATE_GONE
 	for _, tc := range []struct {
 		name   string
@@ -33,7 +33,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var r Roster
 			for _, s := range tc.states {
-				r.Enroll(up("a", s))
+				r.Enroll(newUpstream("a", s))
 			}
 			must.Eq(t, tc.want, r.Find("a").GetState())
 			must.Eq(t, tc.rev, r.Revision())
@@ -41,133 +41,133 @@
 	}
 }
 
-// A server ends and starts again under its id. What it said before holds no more,
-// and what it sent before arrives after what the new process says. Were the new
-// one taken for the old, it would never be used, or used while it leaves.
-func TestStartedAgainUnderItsId(t *testing.T) {
+// A server restarts under the same id. The state of the old process no longer applies, and its
+// announcements may arrive after those of the new process. If the two were confused, the new
+// process would get no requests, or would get requests while it is leaving.
+func TestRestartUnderSameID(t *testing.T) {
 	const serving, leaving, gone = wire.Upstream_STATE_SERVING, wire.Upstream_STATE_LEAVING, wire.Upstream_STATE_GONE
-	type says struct {
+	type announcement struct {
 		state wire.Upstream_State
 		born  int64
 	}
 	for _, tc := range []struct {
-		name string
-		says []says
-		want says
+		name          string
+		announcements []announcement
+		want          announcement
 	}{
-		{"after it left", []says{{serving, 1}, {leaving, 1}, {serving, 2}}, says{serving, 2}},
-		{"after its end", []says{{serving, 1}, {gone, 1}, {serving, 2}}, says{serving, 2}},
-		{"and the former one's end comes late", []says{{serving, 1}, {serving, 2}, {gone, 1}}, says{serving, 2}},
-		{"and the former one's leaving comes late", []says{{serving, 2}, {leaving, 1}}, says{serving, 2}},
-		{"and leaves", []says{{serving, 1}, {leaving, 2}, {serving, 1}, {serving, 2}}, says{leaving, 2}},
-		{"and ends", []says{{gone, 1}, {serving, 2}, {gone, 2}, {serving, 2}}, says{gone, 2}},
-		{"its start told only now", []says{{gone, 0}, {serving, 1}}, says{serving, 1}},
-		{"its start not told", []says{{serving, 1}, {leaving, 0}, {serving, 0}}, says{leaving, 1}},
+		{"after it left", []announcement{{serving, 1}, {leaving, 1}, {serving, 2}}, announcement{serving, 2}},
+		{"after its end", []announcement{{serving, 1}, {gone, 1}, {serving, 2}}, announcement{serving, 2}},
+		{"and the former one's end comes late", []announcement{{serving, 1}, {serving, 2}, {gone, 1}}, announcement{serving, 2}},
+		{"and the former one's leaving comes late", []announcement{{serving, 2}, {leaving, 1}}, announcement{serving, 2}},
+		{"and leaves", []announcement{{serving, 1}, {leaving, 2}, {serving, 1}, {serving, 2}}, announcement{leaving, 2}},
+		{"and ends", []announcement{{gone, 1}, {serving, 2}, {gone, 2}, {serving, 2}}, announcement{gone, 2}},
+		{"its start told only now", []announcement{{gone, 0}, {serving, 1}}, announcement{serving, 1}},
+		{"its start not told", []announcement{{serving, 1}, {leaving, 0}, {serving, 0}}, announcement{leaving, 1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var r Roster
-			for _, s := range tc.says {
-				u := up("a", s.state)
+			for _, s := range tc.announcements {
+				u := newUpstream("a", s.state)
 				u.Born = s.born
 				r.Enroll(u)
 			}
-			must.Eq(t, tc.want, says{r.Find("a").GetState(), r.Find("a").GetBorn()})
-			var saved Roster
-			saved.Load(r.Save())
-			must.Eq(t, tc.want, says{saved.Find("a").GetState(), saved.Find("a").GetBorn()})
+			must.Eq(t, tc.want, announcement{r.Find("a").GetState(), r.Find("a").GetBorn()})
+			var restored Roster
+			restored.Load(r.Save())
+			must.Eq(t, tc.want, announcement{restored.Find("a").GetState(), restored.Find("a").GetBorn()})
 		})
 	}
 }
 
-// So many upstreams end that the oldest of them are forgotten. One that has
-// started again meanwhile must not be forgotten with its former process.
-func TestStartedAgainIsNotForgotten(t *testing.T) {
+// So many upstreams stop that the oldest tombstones are dropped. An upstream that has restarted in
+// the meantime must not be dropped with the tombstone of its previous incarnation.
+func TestRestartedUpstreamIsNotDropped(t *testing.T) {
 	var r Roster
-	r.Enroll(up("a", wire.Upstream_STATE_GONE))
-	again := up("a", wire.Upstream_STATE_SERVING)
-	again.Born = 2
-	r.Enroll(again)
-	for i := range keepGone + 1 {
-		r.Enroll(up(strconv.Itoa(i), wire.Upstream_STATE_GONE))
+	r.Enroll(newUpstream("a", wire.Upstream_STATE_GONE))
+	restarted := newUpstream("a", wire.Upstream_STATE_SERVING)
+	restarted.Born = 2
+	r.Enroll(restarted)
+	for i := range maxGone + 1 {
+		r.Enroll(newUpstream(strconv.Itoa(i), wire.Upstream_STATE_GONE))
 	}
 	must.Eq(t, wire.Upstream_STATE_SERVING, r.Find("a").GetState())
 }
 
 func TestSince(t *testing.T) {
 	var r Roster
-	r.Enroll(up("a", wire.Upstream_STATE_SERVING))
-	r.Enroll(up("b", wire.Upstream_STATE_SERVING))
-	r.Enroll(up("a", wire.Upstream_STATE_GONE))
+	r.Enroll(newUpstream("a", wire.Upstream_STATE_SERVING))
+	r.Enroll(newUpstream("b", wire.Upstream_STATE_SERVING))
+	r.Enroll(newUpstream("a", wire.Upstream_STATE_GONE))
 	for _, tc := range []struct {
 		since uint64
 		want  []string
-		whole bool
+		full  bool
 	}{
 		{0, []string{"b"}, true},
 		{1, []string{"b", "a"}, false},
 		{2, []string{"a"}, false},
 		{3, nil, false},
-		{9, []string{"b"}, true}, // Of another log.
+		{9, []string{"b"}, true}, // Revision of another log.
 	} {
-		list, whole := r.Since(tc.since)
+		list, full := r.Since(tc.since)
 		var ids []string
 		for _, u := range list {
 			ids = append(ids, u.GetId())
 		}
 		must.Eq(t, tc.want, ids, must.Sprint(tc.since))
-		must.Eq(t, tc.whole, whole, must.Sprint(tc.since))
+		must.Eq(t, tc.full, full, must.Sprint(tc.since))
 	}
 }
 
-// An entry that was away while more upstreams ended than the roster remembers
-// must not keep one of them: it gets the whole list, also from a replica that
-// restarted from a snapshot meanwhile.
-func TestForgottenEndsMakeTheListWhole(t *testing.T) {
+// An entry process was disconnected while more than maxGone upstreams stopped. It must get the full
+// list, or it would keep upstreams that are gone. This also holds if it asks a replica that was
+// restored from a snapshot in the meantime.
+func TestDroppedUpstreamsForceFullList(t *testing.T) {
 	var r Roster
-	for i := range keepGone + 2 {
+	for i := range maxGone + 2 {
 		id := strconv.Itoa(i)
-		r.Enroll(up(id, wire.Upstream_STATE_SERVING))
-		r.Enroll(up(id, wire.Upstream_STATE_GONE))
+		r.Enroll(newUpstream(id, wire.Upstream_STATE_SERVING))
+		r.Enroll(newUpstream(id, wire.Upstream_STATE_GONE))
 	}
-	_, whole := r.Since(1)
-	must.True(t, whole)
+	_, full := r.Since(1)
+	must.True(t, full)
 	must.Nil(t, r.Find("0"))
-	var again Roster
-	again.Load(r.Save())
-	must.Eq(t, r.Revision(), again.Revision())
-	_, whole = again.Since(1)
-	must.True(t, whole)
-	must.False(t, again.Enroll(up(strconv.Itoa(keepGone+1), wire.Upstream_STATE_SERVING)))
+	var restored Roster
+	restored.Load(r.Save())
+	must.Eq(t, r.Revision(), restored.Revision())
+	_, full = restored.Since(1)
+	must.True(t, full)
+	must.False(t, restored.Enroll(newUpstream(strconv.Itoa(maxGone+1), wire.Upstream_STATE_SERVING)))
 }
 
-// Guards against changes that are told twice, in another order or not at all, however
-// often upstreams changed before, and over a restart.
-func TestEachChangeIsToldOnce(t *testing.T) {
+// Guards against changes that are listed twice, out of order or not at all, also after many earlier
+// changes and after a restart from a snapshot.
+func TestSinceListsEachChangeOnce(t *testing.T) {
 	var r Roster
-	last := map[string]uint64{}
+	lastRevision := map[string]uint64{}
 	for i := range 5000 {
 		id := strconv.Itoa(i * 7919 % 40)
 		r.Enroll(&wire.Upstream{Id: id, Address: "10.0.0.1:80", Pool: "engines", Slots: int64(i + 1)})
-		last[id] = r.Revision()
+		lastRevision[id] = r.Revision()
 		if i%500 == 0 {
 			list := r.Save()
 			r = Roster{}
 			r.Load(list)
 		}
 		since := r.Revision() - min(r.Revision(), uint64(i%90)) //nolint:gosec // Not negative.
-		list, whole := r.Since(since)
-		must.Eq(t, since == 0, whole)
+		list, full := r.Since(since)
+		must.Eq(t, since == 0, full)
 		want := 0
-		for _, rev := range last {
+		for _, rev := range lastRevision {
 			if rev > since {
 				want++
 			}
 		}
 		must.Len(t, want, list)
 		for n, u := range list {
-			must.Eq(t, last[u.GetId()], u.GetRevision())
+			must.Eq(t, lastRevision[u.GetId()], u.GetRevision())
 			must.True(t, n == 0 || list[n-1].GetRevision() < u.GetRevision())
 		}
 	}
-	must.Less(t, 3*40+keepGone, len(r.order))
+	must.Less(t, 3*40+maxGone, len(r.byRevision))
 }
--- a/io/hub/beats.go
+++ b/io/hub/beats.go
@@ -61,7 +61,7 @@
 	if roster.Stale(known, u) {
 		return nil
 	}
-	reborn := roster.Reborn(known, u)
+	reborn := roster.Restarted(known, u)
 	if reborn {
 		r.limits.drop(u.GetId())
 	}
@@ -75,7 +75,7 @@
 	} else if !r.beats.newer(time.Now(), u, rep.GetSeq(), known) {
 		return nil
 	}
-	if reborn || (!roster.Same(known, u) && known.GetState() <= u.GetState()) {
+	if reborn || (!roster.Unchanged(known, u) && known.GetState() <= u.GetState()) {
 		cmd := &wire.Command{Kind: &wire.Command_Enroll{Enroll: &wire.Enroll{Upstream: u}}}
 		if _, err := h.Replica.Propose(ctx, cmd); err != nil {
 			return err
@@ -102,7 +102,7 @@
 	if !s.beats.newer(time.Now(), u, rep.GetSeq(), known) {
 		return false
 	}
-	if roster.Same(known, u) && !roster.Reborn(known, u) {
+	if roster.Unchanged(known, u) && !roster.Restarted(known, u) {
 		h.announce(s, known, leaseBeats)
 		return true
 	}
@@ -136,7 +136,7 @@
 
 // newer notes a beat and reports whether it is the latest of its upstream.
 func (b *beats) newer(now time.Time, u *wire.Upstream, seq uint64, known *wire.Upstream) bool {
-	if known.GetState() == wire.Upstream_STATE_GONE && !roster.Reborn(known, u) {
+	if known.GetState() == wire.Upstream_STATE_GONE && !roster.Restarted(known, u) {
 		return false
 	}
 	b.mu.Lock()
