--- a/io/form/form_test.go
+++ b/io/form/form_test.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 	"github.com/shoenig/test/must"
 
-	"azurelane/core/form"
 	"azurelane/core/raft"
+	"azurelane/core/repair"
 	"azurelane/core/wire"
 )
 
@@ -33,7 +33,9 @@
 func (f *fakeGroup) Leads() bool      { return f.leads }
 func (f *fakeGroup) Ready() bool      { return f.ready }
 
-func (f *fakeGroup) Group() (string, []*wire.Replica, []raft.PeerStatus) { return f.name, f.all, f.peers }
+func (f *fakeGroup) Group() (string, []*wire.Replica, []raft.PeerStatus) {
+	return f.name, f.all, f.peers
+}
 
 func (f *fakeGroup) Propose(_ context.Context, c *wire.Command) (*wire.Result, error) {
 	f.proposed = append(f.proposed, c.GetMembership())
@@ -88,7 +90,7 @@
 			name: "g", leads: true, all: []*wire.Replica{{Id: "me", Voter: true}}, err: errors.New("busy"),
 			peers: []raft.PeerStatus{{Replica: &wire.Replica{Id: "b", DataCentre: "z2"}, CaughtUp: true}},
 		}
-		f := &Form{Form: form.Form{Losses: 1, Centres: 3, Away: time.Second, Forget: time.Minute}, Replica: g, Leader: g, Log: logr.Discard()}
+		f := &Form{Policy: repair.Policy{MaxLosses: 1, DataCentres: 3, ReplaceAfter: time.Second, RemoveLearnerAfter: time.Minute}, Replica: g, Leader: g, Log: logr.Discard()}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		must.ErrorIs(t, f.Serve(ctx), context.DeadlineExceeded)
--- a/io/hubd/hubd.go
+++ b/io/hubd/hubd.go
@@ -16,7 +16,7 @@
 	"github.com/thejerf/suture/v4"
 
 	"azurelane/core/conf"
-	coreform "azurelane/core/form"
+	coreform "azurelane/core/repair"
 	"azurelane/io/admin"
 	"azurelane/io/ctrl"
 	"azurelane/io/form"
@@ -92,11 +92,11 @@
 	metrics.Runtime()
 	m := &mesh.Mesh{Listen: peers, Self: set.Peers, Log: d.log.WithName("mesh")}
 	toLeader := &leader.Leader{Replicas: d.replicas(), Caller: m}
-	group := coreform.Form{
-		Losses: set.Losses, Centres: len(set.Centres), Away: time.Duration(awayPart * float64(set.CatchUp)), Forget: forget,
+	group := coreform.Policy{
+		MaxLosses: set.Losses, DataCentres: len(set.Centres), ReplaceAfter: time.Duration(awayPart * float64(set.CatchUp)), RemoveLearnerAfter: forget,
 	}
 	h := &hub.Hub{
-		Replica: d.ctrl, Leader: toLeader, Centre: set.Centre, Parse: parse, Voters: group.Voters(), Beat: set.Announce, Over: set.Overage,
+		Replica: d.ctrl, Leader: toLeader, Centre: set.Centre, Parse: parse, Voters: group.TargetVoters(), Beat: set.Announce, Over: set.Overage,
 		Slack: set.QuotaSlack, Stats: metrics, Log: d.log, Lines: logs.Budget{Most: refusalLines},
 	}
 	h.Gauges()
@@ -109,7 +109,7 @@
 	d.front = &httpd.Httpd{Listen: front, Handler: calls(h), DrainOpen: drainOpen}
 	for _, s := range []suture.Service{
 		m, d.ctrl, h,
-		&form.Form{Form: group, Self: set.Peers, Centre: set.Centre, Replica: d.ctrl, Leader: toLeader, Log: d.log.WithName("form")},
+		&form.Form{Policy: group, Self: set.Peers, Centre: set.Centre, Replica: d.ctrl, Leader: toLeader, Log: d.log.WithName("form")},
 	} {
 		d.sup.Add(s)
 	}
