--- a/core/state/state.go
+++ b/core/state/state.go
@@ -10,7 +10,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"azurelane/core/order"
+	"azurelane/core/permit"
 	"azurelane/core/roster"
 	"azurelane/core/sites"
 	"azurelane/core/wire"
@@ -55,7 +55,7 @@
 		claims         map[claimKey]*wire.ClaimState
 		changeResults  map[string]*wire.Result
 		changeIDs      []string // Keys of changeResults, oldest first.
-		orders         order.Order
+		orders         permit.Orders
 		clockUs        int64 // Highest leader time in any command so far.
 		expiries       expiryHeap
 
