--- a/core/leases/table.go
+++ b/core/leases/table.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// GetOrAdd returns the upstream with a name. An upstream that has not announced itself yet is added
-// without a lease, so that slots taken over from the previous owner of the pool are counted
-// before its first announcement arrives.
+// GetOrAdd returns the upstream with the given name. An upstream that has not announced itself yet
+// is added without a lease, so that slots taken over from the previous owner of the pool are
+// counted before its first announcement arrives.
 func (t *Table) GetOrAdd(name string) *upstr.Upstream {
 	if u := t.byName[name]; u != nil {
 		return u
--- a/core/permit/permit.go
+++ b/core/permit/permit.go
@@ -93,12 +93,12 @@
 
 // mustWait reports whether a new order must wait for the old one.
 //
-// Two orders compete if two operators send orders at the same time, or if the process of an operator
-// crashes after it has sent an order. An upstream that checks the fence rejects the older of two
-// orders by itself, so the newer one may be sent at once. An upstream that ignores the fence would
-// run both, and its final state would depend on their order of arrival. There, the new order waits
-// until the outcome of the old one is recorded or its expiry time has passed. The limit of the old
-// order and ExpiryMargin bound the wait.
+// Two orders compete if two operators send orders at the same time, or if the process of an
+// operator crashes after it has sent an order. An upstream that checks the fence rejects the older
+// of two orders by itself, so the newer one may be sent at once. An upstream that ignores the fence
+// would run both, and its final state would depend on their order of arrival. There, the new order
+// waits until the outcome of the old one is recorded or its expiry time has passed. The limit of
+// the old order and ExpiryMargin bound the wait.
 func mustWait(old *wire.OrderState, s *wire.OrderStart) bool {
 	if old == nil || old.GetOutcome() != "" {
 		return false
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// Find returns the upstream with an id, or nil.
+// Find returns the upstream with the given id, or nil.
 func (r *Roster) Find(id string) *wire.Upstream { return r.upstreams[id] }
 
 // Revision returns the revision of the roster, which grows by one with each change.
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -22,7 +22,7 @@
 	Running  = "running"  // The key is claimed and its run has not finished.
 	Finished = "finished" // The key is claimed and its run has finished.
 	Mismatch = "mismatch" // The key was claimed with a different request body.
-	Conflict = "conflict" // The change was made from a version that is no longer in force.
+	Conflict = "conflict" // The change was made from a version that is not in force.
 	Invalid  = "invalid"  // The command or its document is invalid.
 	Gone     = "gone"     // The claim is missing, was freed or does not match.
 	Full     = "full"     // MaxClaims claims are already stored.
@@ -35,10 +35,10 @@
 // time for which a duplicate of the Claim or Finish command can be in transit.
 const freedClaimRetentionUs = int64(time.Minute / time.Microsecond)
 
-// MaxClaims limits the number of stored claims. Without a limit, a burst of keys that are kept
-// for a day could exhaust the memory of all replicas at once and lose every claim. With it,
-// requests over the limit are refused before they run. At 300 bytes per claim, the claims need
-// at most 128 MB.
+// MaxClaims limits the number of stored claims. Without a limit, a burst of keys that are kept for
+// a day could exhaust the memory of all replicas at once, and every claim would be lost. With it,
+// requests over the limit are refused before they run. At 300 bytes per claim, the claims need at
+// most 128 MB.
 const MaxClaims = 400000
 
 // MaxChangeResults is the number of changes whose results are stored, so that a change that is
@@ -183,7 +183,7 @@
 		return &wire.Result{Code: Mismatch, Text: "the key was used with another body"}
 	}
 	// The same holder and request claim again when the first reply was lost. They get the
-	// original result; otherwise the entry would try to join its own run.
+	// original result; otherwise the entry process would try to join its own run.
 	if sameRequest && old.GetOutcome() == "" {
 		return &wire.Result{Code: OK, Holder: c.GetHolder()}
 	}
@@ -223,7 +223,7 @@
 }
 
 // finish records the outcome of a claim; only the first outcome counts. A delayed Finish must not
-// change the claim of a newer request of the same entry, and a Finish with NotRun must not free a
+// change the claim of a newer request of the same holder, and a Finish with NotRun must not free a
 // key whose run is already recorded. In both cases the request could run twice.
 func (s *State) finish(f *wire.Finish) *wire.Result {
 	k := claimKey{f.GetAccount(), f.GetKey()}
