--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -14,11 +14,11 @@
 
 	"azurelane/core/conf"
 	"azurelane/core/kernel"
+	"azurelane/core/leases"
 	"azurelane/core/pool"
 	"azurelane/core/refuse"
 	"azurelane/core/slot"
 	"azurelane/core/slots"
-	"azurelane/core/leases"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
 )
--- a/core/direct/direct.go
+++ b/core/direct/direct.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"azurelane/core/conf"
+	"azurelane/core/leases"
 	"azurelane/core/pool"
 	"azurelane/core/refuse"
 	"azurelane/core/slot"
 	"azurelane/core/slots"
-	"azurelane/core/leases"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
 )
--- a/core/leases/table.go
+++ b/core/leases/table.go
@@ -1,4 +1,4 @@
-// Package table keeps the announced upstreams of one pool.
+// Package leases holds the upstreams of one pool and the leases from their announcements.
 package leases
 
 import (
@@ -10,14 +10,15 @@
 	"azurelane/core/wire"
 )
 
-// Table holds upstreams by name. The zero value is empty and ready.
+// Table holds upstreams by name. The zero value is empty and ready to use.
 type Table struct {
-	ups  map[string]*upstr.Upstream
-	list []*upstr.Upstream // Sorted by name, so that the same input gives the same decisions.
+	byName map[string]*upstr.Upstream
+	sorted []*upstr.Upstream // Ordered by name, so that the same input leads to the same decisions.
 }
 
-// Update takes an announcement. One that a newer one of the same incarnation has
-// overtaken is dropped, so that a delayed "serving" can't undo a "leaving".
+// Update records an announcement and renews the lease of its upstream. It ignores an announcement
+// that is older than the latest one of the same incarnation, so that a delayed "serving" can't undo
+// a "leaving".
 func (t *Table) Update(now time.Time, a *wire.Announce) {
 	u := t.GetOrAdd(a.GetUpstream())
 	if u.GetIncarnation() != a.GetIncarnation() || a.GetSeq() >= u.GetSeq() {
@@ -25,34 +26,34 @@
 	}
 }
 
-// GetOrAdd returns the upstream of that name. One that has not announced itself
-// yet is entered without a lease, so that slots taken over from a former owner
-// are counted before its first announcement arrives here.
+// GetOrAdd returns the upstream with the given name. An upstream that has not announced itself yet
+// is added without a lease, so that slots taken over from the previous owner of the pool are
+// counted before its first announcement arrives.
 func (t *Table) GetOrAdd(name string) *upstr.Upstream {
-	if u := t.ups[name]; u != nil {
+	if u := t.byName[name]; u != nil {
 		return u
 	}
-	if t.ups == nil {
-		t.ups = map[string]*upstr.Upstream{}
+	if t.byName == nil {
+		t.byName = map[string]*upstr.Upstream{}
 	}
 	u := upstr.New(name)
-	t.ups[name] = u
-	t.list = append(t.list, u)
-	slices.SortFunc(t.list, func(a, b *upstr.Upstream) int { return cmp.Compare(a.GetUpstream(), b.GetUpstream()) })
+	t.byName[name] = u
+	t.sorted = append(t.sorted, u)
+	slices.SortFunc(t.sorted, func(a, b *upstr.Upstream) int { return cmp.Compare(a.GetUpstream(), b.GetUpstream()) })
 	return u
 }
 
-// All returns every known upstream, sorted by name. The slice is the table's own.
-func (t *Table) All() []*upstr.Upstream { return t.list }
+// All returns all upstreams, sorted by name. The caller must not modify the slice.
+func (t *Table) All() []*upstr.Upstream { return t.sorted }
 
-// Expire forgets upstreams whose lease ended longer than grace ago and on
-// which nothing runs.
+// Expire removes the upstreams whose lease expired at least grace ago and that have no running
+// requests.
 func (t *Table) Expire(now time.Time, grace time.Duration) {
-	t.list = slices.DeleteFunc(t.list, func(u *upstr.Upstream) bool {
+	t.sorted = slices.DeleteFunc(t.sorted, func(u *upstr.Upstream) bool {
 		if u.Running > 0 || now.Before(u.Expires.Add(grace)) {
 			return false
 		}
-		delete(t.ups, u.GetUpstream())
+		delete(t.byName, u.GetUpstream())
 		return true
 	})
 }
--- a/io/form/form.go
+++ b/io/form/form.go
@@ -10,8 +10,8 @@
 
 	"github.com/go-logr/logr"
 
-	"azurelane/core/repair"
 	"azurelane/core/raft"
+	"azurelane/core/repair"
 	"azurelane/core/wire"
 )
 
--- a/io/form/form_test.go
+++ b/io/form/form_test.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 	"github.com/shoenig/test/must"
 
-	"azurelane/core/repair"
 	"azurelane/core/raft"
+	"azurelane/core/repair"
 	"azurelane/core/wire"
 )
 
