--- a/io/gated/gated.go
+++ b/io/gated/gated.go
@@ -51,7 +51,7 @@
 	set    *local.Local
 	log    logr.Logger
 	gate   *gate.Gate
-	watch  *watch.Watch
+	watch  *watch.Watcher
 	grant  *grant.Grant
 	mesh   *mesh.Mesh
 	client *client.Client
@@ -73,20 +73,20 @@
 	metrics := stats.New()
 	metrics.Runtime()
 	e.mesh = &mesh.Mesh{Listen: lns[0], Self: set.Peers, Handle: nothing, Log: log.WithName("mesh")}
-	e.watch = &watch.Watch{
-		Node: set.Node, Incarnation: incarnation, Centre: set.Centre, Self: set.Peers, Seeds: e.seeds, Mesh: e.mesh,
+	e.watch = &watch.Watcher{
+		Node: set.Node, Incarnation: incarnation, DataCentre: set.Centre, PeerAddress: set.Peers, Seeds: e.seeds, Mesh: e.mesh,
 		Parse: parse, Log: log.WithName("watch"),
 	}
 	e.grant = &grant.Grant{
 		Self: set.Node, Incarnation: incarnation, Local: none{}, Members: e.watch, Mesh: e.mesh, Log: log.WithName("grant"),
 	}
-	e.watch.Changed, e.watch.Rates = e.grant.Changed, g.Rates
-	e.watch.Crashes, e.watch.Banned = g.Crashes, g.Banned
-	e.watch.Limits, e.watch.Limited = g.Limits, g.Limited
+	e.watch.OnSchedulerChange, e.watch.Usage = e.grant.Changed, g.Rates
+	e.watch.Crashes, e.watch.OnBans = g.Crashes, g.Banned
+	e.watch.Limits, e.watch.OnLimits = g.Limits, g.Limited
 	g.Node, g.Incarnation, g.Centre = set.Node, incarnation, set.Centre
 	g.News, g.Granter, g.Sender, g.Prober, g.Trier, g.Stats, g.Log = e.watch, e.grant, e.client, e.client, e, metrics, e.log
 	metrics.Pull("configuration-version", func() int64 { return int64(e.watch.View().Version) }) //nolint:gosec // Versions are small.
-	metrics.Pull("configuration-age-ms", func() int64 { return time.Since(e.watch.View().Heard).Milliseconds() })
+	metrics.Pull("configuration-age-ms", func() int64 { return time.Since(e.watch.View().LastHeard).Milliseconds() })
 	metrics.Pull("scheduler-known", func() int64 {
 		if e.watch.Owner("") != nil {
 			return 1
--- a/io/watch/find.go
+++ b/io/watch/find.go
@@ -12,30 +12,33 @@
 )
 
 const (
-	pause     = 20 * time.Millisecond  // Between two replicas that are asked who leads.
-	findLimit = 400 * time.Millisecond // For all of them to say.
-	// localGrace is for how long others may still answer after a replica of this data
-	// centre has said that it is cut off: some ways there and back.
-	localGrace = 60 * time.Millisecond
-	// localWait is how long a scheduler of this data centre alone may hold an answer
-	// back. After each the entry looks whether it reaches others again.
-	localWait = 300 * time.Millisecond
+	statusQueryInterval = 20 * time.Millisecond  // Between two status queries.
+	findTimeout         = 400 * time.Millisecond // For the answers of all replicas.
+	// cutOffGrace is how long replicas of other data centres may still answer after a replica of
+	// this data centre has reported that it is cut off. It covers several round trips.
+	cutOffGrace = 60 * time.Millisecond
+	// localPollWait is the wait of a long poll at a scheduler that serves only this data centre.
+	// After each poll the entry checks whether it reaches a leader elsewhere again.
+	localPollWait = 300 * time.Millisecond
 )
 
-// found is whom to follow.
-type found struct {
+// target is the replica whose scheduler the entry follows. Its address is invalid if there is
+// none.
+type target struct {
 	addr  netip.AddrPort
-	local bool // A replica that schedules this data centre alone.
+	local bool // The replica is cut off and schedules only for this data centre.
 }
 
-// word is what one replica says.
-type word struct {
-	found
-	elsewhere bool // It stands in another data centre.
+// statusReply is the outcome of a status query. Its target is the leader that the replica named, or
+// the replica itself if it is cut off with this data centre, and is otherwise invalid.
+type statusReply struct {
+	target
+	otherDataCentre bool // The replica is in another data centre.
 }
 
-// hinted is the leader that a replica named instead of itself.
-func hinted(err error) netip.AddrPort {
+// hintedLeader returns the leader's address from the fault of a replica that does not lead, or
+// an invalid address if err names none.
+func hintedLeader(err error) netip.AddrPort {
 	var f *wire.Fault
 	if !errors.As(err, &f) {
 		return netip.AddrPort{}
@@ -47,68 +50,69 @@
 	return a
 }
 
-// find asks the replicas who leads, one after the other, and does not wait for
-// one that is silent before it asks the next: after a loss of power those that
-// are not back yet would keep an entry from the leader that is.
+// findScheduler asks the replicas who leads. It starts one query every statusQueryInterval
+// without waiting for the answers before: after a power failure, replicas that are still down
+// would otherwise delay the entry while a leader is up already.
 //
-// Where only replicas of this data centre answer and one of them says that it is cut
-// off, that one is to be followed. While others answer there will be a leader.
-func (w *Watch) find(ctx context.Context) found {
-	list := w.known()
-	ctx, cancel := context.WithTimeout(ctx, findLimit)
+// If only replicas of this data centre answer and one of them reports that it is cut off,
+// findScheduler returns that one. If a replica elsewhere answers, this data centre is not cut off
+// and a leader will be elected, so findScheduler then returns either the leader or no target.
+func (w *Watcher) findScheduler(ctx context.Context) target {
+	list := w.replicasToQuery()
+	ctx, cancel := context.WithTimeout(ctx, findTimeout)
 	defer cancel()
-	words := make(chan word, len(list))
-	next, grace := time.NewTimer(0), time.NewTimer(findLimit)
+	replies := make(chan statusReply, len(list))
+	next, grace := time.NewTimer(0), time.NewTimer(findTimeout)
 	defer next.Stop()
 	defer grace.Stop()
-	var local found
-	elsewhere := false
+	var local target
+	otherAnswered := false
 	for asked, ended := 0, 0; ended < len(list); {
 		select {
-		case a := <-words:
+		case reply := <-replies:
 			ended++
-			elsewhere = elsewhere || a.elsewhere
+			otherAnswered = otherAnswered || reply.otherDataCentre
 			switch {
-			case a.addr.IsValid() && !a.local:
-				return a.found
-			case a.local && !local.local:
-				local = a.found
-				grace.Reset(localGrace)
-			case a.local && a.addr.Compare(local.addr) < 0:
-				local = a.found // The same one for all entries, if there are two.
+			case reply.addr.IsValid() && !reply.local:
+				return reply.target
+			case reply.local && !local.local:
+				local = reply.target
+				grace.Reset(cutOffGrace)
+			case reply.local && reply.addr.Compare(local.addr) < 0:
+				local = reply.target // If several are cut off, all entries choose the lowest address.
 			}
 		case <-next.C:
 			if asked == len(list) {
 				continue
 			}
 			asked++
-			w.next++
-			to := list[w.next%len(list)]
-			go func() { words <- w.leader(ctx, to) }()
-			next.Reset(pause)
+			w.nextReplica++
+			to := list[w.nextReplica%len(list)]
+			go func() { replies <- w.queryLeader(ctx, to) }()
+			next.Reset(statusQueryInterval)
 		case <-grace.C:
 			if asked < len(list) {
-				grace.Reset(localGrace)
+				grace.Reset(cutOffGrace)
 				continue
 			}
-			return local.unless(elsewhere)
+			return local.discardIf(otherAnswered)
 		case <-ctx.Done():
-			return local.unless(elsewhere)
+			return local.discardIf(otherAnswered)
 		}
 	}
-	return local.unless(elsewhere)
+	return local.discardIf(otherAnswered)
 }
 
-// unless drops what was found when replicas of other data centres answered.
-func (f found) unless(elsewhere bool) found {
-	if elsewhere {
-		return found{}
+// discardIf returns t, or no target if a replica of another data centre has answered.
+func (t target) discardIf(otherAnswered bool) target {
+	if otherAnswered {
+		return target{}
 	}
-	return f
+	return t
 }
 
-// known lists the replicas to ask.
-func (w *Watch) known() []netip.AddrPort {
+// replicasToQuery returns the replicas that control has listed, and then the remaining seeds.
+func (w *Watcher) replicasToQuery() []netip.AddrPort {
 	w.mu.Lock()
 	list := slices.Clone(w.replicas)
 	w.mu.Unlock()
@@ -120,26 +124,27 @@
 	return list
 }
 
-// leader is who leads by the word of one replica; invalid where it knows none.
-func (w *Watch) leader(ctx context.Context, to netip.AddrPort) word {
+// queryLeader asks one replica for the leader.
+func (w *Watcher) queryLeader(ctx context.Context, to netip.AddrPort) statusReply {
 	f, err := w.Mesh.Call(ctx, to, &wire.Frame{Body: &wire.Frame_StatusQuery{StatusQuery: &wire.StatusQuery{}}})
 	if err != nil {
-		w.Log.V(1).Info("Control replica not reached.", "address", to.String(), "err", err.Error())
-		return word{}
+		w.Log.V(1).Info("Status query to a control replica failed.", "address", to.String(), "err", err.Error())
+		return statusReply{}
 	}
 	s := f.GetStatus()
-	w.learn(s.GetReplicas())
+	w.learnReplicas(s.GetReplicas())
 	if a, err := netip.ParseAddrPort(s.GetLeader()); err == nil {
-		return word{found: found{addr: a}}
+		return statusReply{target: target{addr: a}}
 	}
-	elsewhere := s.GetDataCentre() != w.Centre
-	if s.GetCutOff() && !elsewhere {
-		return word{found: found{to, true}}
+	otherDataCentre := s.GetDataCentre() != w.DataCentre
+	if s.GetCutOff() && !otherDataCentre {
+		return statusReply{target: target{to, true}}
 	}
-	return word{elsewhere: elsewhere}
+	return statusReply{otherDataCentre: otherDataCentre}
 }
 
-func (w *Watch) learn(list []*wire.Replica) {
+// learnReplicas replaces the known replicas by the given ones.
+func (w *Watcher) learnReplicas(list []*wire.Replica) {
 	var addrs []string
 	for _, r := range list {
 		addrs = append(addrs, r.GetAddress())
@@ -147,7 +152,8 @@
 	w.learnAddrs(addrs)
 }
 
-func (w *Watch) learnAddrs(list []string) {
+// learnAddrs replaces the known replicas by the addresses that parse, unless none does.
+func (w *Watcher) learnAddrs(list []string) {
 	var all []netip.AddrPort
 	for _, s := range list {
 		if a, err := netip.ParseAddrPort(s); err == nil {
--- a/io/watch/probe.go
+++ b/io/watch/probe.go
@@ -11,81 +11,81 @@
 )
 
 const (
-	// probeLimit is how long the leader may take to answer a question that needs no
-	// work, before entries place requests by themselves, while nothing is known of how
-	// long it usually takes.
-	probeLimit = 250 * time.Millisecond
-	// leastProbe is the least of that limit: a pause of the collector or of the machine
-	// is no reason to leave a scheduler. probeTimes is the limit in times of the longest
-	// answer of late. Most answers take a few milliseconds, while objectives are some
-	// hundred: with 250 ms for all, what waited at a leader that froze was late before
-	// anyone knew.
-	leastProbe = 60 * time.Millisecond
-	probeTimes = 4
-	probeEvery = 200 * time.Millisecond // Between two such questions.
-	// keepAnswers is how many answers to probes are remembered.
-	keepAnswers = 8
-	// probeVersion asks for a configuration newer than any, so that the answer is
-	// empty.
+	// maxProbeTimeout is the longest time that the scheduler may take to answer a probe before
+	// the entry places requests by itself. It is the timeout until probeHistory probes have been
+	// answered, and the upper bound from then on.
+	maxProbeTimeout = 250 * time.Millisecond
+	// minProbeTimeout keeps a garbage collection or a short pause of the VM from being taken for
+	// a lost scheduler.
+	minProbeTimeout = 60 * time.Millisecond
+	// probeTimeoutFactor is the timeout as a multiple of the slowest of the last answers. Most
+	// answers take a few milliseconds, while objectives are some hundred milliseconds: with a
+	// fixed timeout of 250 ms, tickets that waited at a frozen leader missed their objective
+	// before the entry noticed.
+	probeTimeoutFactor = 4
+	minProbeInterval   = 200 * time.Millisecond // Between two probes that Doubt starts.
+	// probeHistory is the number of probe round trips that set the timeout.
+	probeHistory = 8
+	// probeVersion is higher than any configuration version, so that the answer carries no
+	// document and costs the scheduler no work.
 	probeVersion = ^uint64(0)
 )
 
-// Doubt is called when the scheduler has not answered for a while. It asks
-// whether it lives, and takes it for lost when it doesn't say so: tickets would
-// wait there for as long as the link takes to be given up, seconds, while their
-// objectives are some hundred milliseconds.
-func (w *Watch) Doubt(ctx context.Context) {
+// Doubt probes the scheduler, and drops it if the probe fails. Callers use it when a ticket has
+// waited for a while. Without the probe, tickets would wait until the connection times out, which
+// takes seconds, while their objectives are some hundred milliseconds.
+func (w *Watcher) Doubt(ctx context.Context) {
 	w.mu.Lock()
-	m := w.View().Owner
-	if m == nil || time.Since(w.probed) < probeEvery {
+	owner := w.View().Owner
+	if owner == nil || time.Since(w.lastProbe) < minProbeInterval {
 		w.mu.Unlock()
 		return
 	}
-	w.probed = time.Now()
+	w.lastProbe = time.Now()
 	w.mu.Unlock()
-	to, err := netip.ParseAddrPort(m.GetAddress())
+	to, err := netip.ParseAddrPort(owner.GetAddress())
 	if err != nil {
 		return
 	}
 	if err = w.probe(context.WithoutCancel(ctx), to); err == nil {
 		return
 	}
-	if v := w.View(); v.Owner == m {
-		w.lose("it does not answer: " + err.Error())
+	if v := w.View(); v.Owner == owner {
+		w.dropScheduler("scheduler did not answer a probe: " + err.Error())
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.stop() // Another may lead by now.
+		w.cancelPoll() // Lets Serve look for another leader at once.
 	}
 }
 
-// probe asks the scheduler whether it lives and notes how long the answer took.
-func (w *Watch) probe(ctx context.Context, to netip.AddrPort) error {
+// probe sends a query that needs no work, and records the round-trip time of its answer.
+func (w *Watcher) probe(ctx context.Context, to netip.AddrPort) error {
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, w.patience())
+	ctx, cancel := context.WithTimeout(ctx, w.probeTimeout())
 	defer cancel()
 	if _, err := w.Mesh.Call(ctx, to, &wire.Frame{Body: &wire.Frame_ConfigQuery{ConfigQuery: &wire.ConfigQuery{Version: probeVersion}}}); err != nil {
 		return fmt.Errorf("watch: probe: %w", err)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.answers[w.answered%keepAnswers] = time.Since(start)
-	w.answered++
+	w.probeTimes[w.probeCount%probeHistory] = time.Since(start)
+	w.probeCount++
 	return nil
 }
 
-// patience is how long the answer to a probe may take.
-func (w *Watch) patience() time.Duration {
+// probeTimeout returns how long the answer to a probe may take.
+func (w *Watcher) probeTimeout() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.answered < keepAnswers {
-		return probeLimit
+	if w.probeCount < probeHistory {
+		return maxProbeTimeout
 	}
-	return min(max(probeTimes*slices.Max(w.answers[:]), leastProbe), probeLimit)
+	return min(max(probeTimeoutFactor*slices.Max(w.probeTimes[:]), minProbeTimeout), maxProbeTimeout)
 }
 
-// measure learns how long the scheduler takes to answer while all is well.
-func (w *Watch) measure(ctx context.Context, to netip.AddrPort) {
+// measureLatency probes a scheduler that answers normally, to learn its usual round-trip time.
+func (w *Watcher) measureLatency(ctx context.Context, to netip.AddrPort) {
 	if err := w.probe(ctx, to); err != nil {
-		w.Log.V(1).Info("Scheduler not measured.", "err", err.Error())
+		w.Log.V(1).Info("Latency probe of the scheduler failed.", "err", err.Error())
 	}
 }
--- a/io/watch/view.go
+++ b/io/watch/view.go
@@ -10,29 +10,30 @@
 	"azurelane/core/wire"
 )
 
-// View is what an entry knows. It is never changed, only replaced.
+// View is an immutable snapshot of the state that an entry knows of the deployment.
 type View struct {
-	Version   uint64
-	Index     *index.Index // Nil before the first configuration.
-	Since     time.Time    // When the configuration came into force here.
-	Revision  uint64
-	Upstreams map[string][]*wire.Upstream // Serving ones, by pool.
-	Silent    map[string]bool             // Upstreams that control doesn't hear.
-	Unreached map[string]bool             // Data centres that seem cut off.
-	Isolated  bool                        // This entry's own data centre does.
-	Entries   int                         // That share the limits of all.
-	Owner     *wire.Member                // The scheduler of all pools, nil for none.
-	Heard     time.Time                   // When the owner last answered.
+	Version     uint64
+	Index       *index.Index                // Routes of the configuration; nil before the first one.
+	InstalledAt time.Time                   // When this entry installed the configuration.
+	Revision    uint64                      // Revision of the roster.
+	Upstreams   map[string][]*wire.Upstream // Serving upstreams by pool, sorted by ID.
+	Silent      map[string]bool             // Upstreams that control has not heard from lately.
+	Unreached   map[string]bool             // Data centres that control takes for cut off.
+	Isolated    bool                        // Whether this entry's own data centre is cut off.
+	Entries     int                         // Number of entries that share the limits.
+	Owner       *wire.Member                // The scheduler of all pools; nil if none is known.
+	LastHeard   time.Time                   // When the scheduler last answered a poll.
 
-	roster map[string]*wire.Upstream
-	bans   uint64 // Revision of the bans that the owner has told.
+	roster       map[string]*wire.Upstream // By upstream ID.
+	bansRevision uint64                    // Revision of the bans received from the scheduler.
 }
 
-// Upstream returns an upstream by its id, nil for one that is not known.
+// Upstream returns the upstream with the given ID, or nil if it is unknown.
 func (v *View) Upstream(id string) *wire.Upstream { return v.roster[id] }
 
-// apply takes the changes of the roster.
-func (v *View) apply(n *wire.News, gone map[string]struct{}) {
+// applyRoster updates the roster with its changes in n, or replaces it if n holds all of it. An
+// upstream that has restarted since Replaced was called for it is removed from replaced.
+func (v *View) applyRoster(n *wire.News, replaced map[string]struct{}) {
 	if n.GetWhole() || v.roster == nil {
 		v.roster = map[string]*wire.Upstream{}
 	} else {
@@ -40,7 +41,7 @@
 	}
 	for _, u := range n.GetRoster() {
 		if v.roster[u.GetId()].GetBorn() < u.GetBorn() {
-			delete(gone, u.GetId()) // It answers as itself again.
+			delete(replaced, u.GetId()) // The upstream has started again under its own ID.
 		}
 		if u.GetState() == wire.Upstream_STATE_GONE {
 			delete(v.roster, u.GetId())
@@ -49,13 +50,14 @@
 		v.roster[u.GetId()] = u
 	}
 	v.Revision = n.GetRevision()
-	v.sort(gone)
+	v.rebuildUpstreams(replaced)
 }
 
-func (v *View) sort(gone map[string]struct{}) {
+// rebuildUpstreams computes Upstreams from the roster. It leaves out the upstreams in replaced.
+func (v *View) rebuildUpstreams(replaced map[string]struct{}) {
 	v.Upstreams = map[string][]*wire.Upstream{}
 	for id, u := range v.roster {
-		if _, ok := gone[id]; !ok && u.GetState() == wire.Upstream_STATE_SERVING {
+		if _, ok := replaced[id]; !ok && u.GetState() == wire.Upstream_STATE_SERVING {
 			v.Upstreams[u.GetPool()] = append(v.Upstreams[u.GetPool()], u)
 		}
 	}
--- a/io/watch/watch.go
+++ b/io/watch/watch.go
@@ -1,5 +1,5 @@
-// Package watch keeps an entry informed: which control replica leads, which
-// configuration is in force and which upstreams there are.
+// Package watch keeps an entry up to date with control. By long polls at the leading control
+// replica it receives the configuration, the roster of upstreams, bans and limits.
 package watch
 
 import (
@@ -22,57 +22,61 @@
 )
 
 const (
-	// waitFor is how long the leader may hold an answer back. It asks the entry
-	// to show that it lives, and the leader that it still leads.
-	waitFor = 2 * time.Second
-	// askLimit is over waitFor by what a slow VM needs.
-	askLimit = waitFor + 800*time.Millisecond
-	// firstLimit is how long a leader may take for its first answer, which it
-	// does not hold back. While a leader that froze is being replaced, the other
-	// replicas still name it, and entries would be without a scheduler for as long
-	// as they wait for it: 3 s with askLimit. The limit doubles with each answer
-	// that stays away, so that a slow link is no obstacle for good.
-	firstLimit  = 500 * time.Millisecond
-	mostDoubled = 3                     // Times; it is over askLimit then.
-	noneWait    = 60 * time.Millisecond // Before the replicas are asked again who leads.
-	// maxDocument bounds a document, so that a damaged one can't fill the memory.
-	maxDocument = 64 << 20
+	// pollWait is the wait of a long poll: the longest time that the leader may hold its answer
+	// back. It also serves as a heartbeat: the poll shows that the entry is alive, the answer that
+	// the leader still leads.
+	pollWait = 2 * time.Second
+	// pollTimeout exceeds pollWait by the delay that a slow VM may add.
+	pollTimeout = pollWait + 800*time.Millisecond
+	// firstPollTimeout applies to the first poll at a leader, which it answers at once. While a
+	// frozen leader is being replaced, the other replicas still name it, and an entry that polls
+	// it has no scheduler until the poll times out: about 3 s with pollTimeout. The timeout
+	// doubles with each poll that times out, so that a slow link only delays the first answer.
+	firstPollTimeout    = 500 * time.Millisecond
+	maxTimeoutDoublings = 3                     // After these, the timeout exceeds pollTimeout.
+	findRetryDelay      = 60 * time.Millisecond // Before the next search if no replica leads.
+	// maxDocumentBytes limits the size of a decompressed document, so that a corrupted one cannot
+	// exhaust memory.
+	maxDocumentBytes = 64 << 20
 )
 
 type (
-	// Watch is the service of one entry. Its exported fields are set before
+	// Watcher follows the scheduler on behalf of one entry. Its exported fields are set before
 	// Serve is called.
-	Watch struct {
+	Watcher struct {
 		Node        string
 		Incarnation string
-		Centre      string
-		Self        netip.AddrPort
-		Seeds       func() []netip.AddrPort // Peer addresses of some control replicas, read anew each time.
+		DataCentre  string
+		PeerAddress netip.AddrPort
+		Seeds       func() []netip.AddrPort // Peer addresses of some control replicas.
 		Mesh        caller
-		Parse       func(doc []byte) (*conf.Config, error)
-		Changed     func()                      // Called when the scheduler changed; may be nil.
-		Rates       func() []*wire.AccountUsage // What accounts used here of late, for a new scheduler; may be nil.
-		Crashes     func() *wire.Crashes        // What this entry knows of requests that crash upstreams, likewise.
-		// Banned is called with each new list of bans, and whether it is the first of its
-		// scheduler; may be nil.
-		Banned func(list *wire.Bans, other bool)
-		// Limits is what this entry knows of upstreams' limits, for a new scheduler, and
-		// Limited is called with all that are in force; both may be nil.
-		Limits  func() []*wire.Limit
-		Limited func(list []*wire.Limit)
-		Log     logr.Logger
+		Parse       func(doc []byte) (*conf.Config, error) // Parses a published document.
+		// OnSchedulerChange is called when the scheduler is found, replaced or lost. It may be nil.
+		OnSchedulerChange func()
+		// Usage and Crashes are sent to a new scheduler: the recent usage of accounts at this entry,
+		// and the upstream crashes that it has seen. Both may be nil.
+		Usage   func() []*wire.AccountUsage
+		Crashes func() *wire.Crashes
+		// OnBans is called with each new list of bans, and with first set if it is the first list
+		// from its scheduler. It may be nil.
+		OnBans func(list *wire.Bans, first bool)
+		// Limits returns the rate limits of upstreams that this entry knows, sent to a new
+		// scheduler. OnLimits is called with all limits in force. Both may be nil.
+		Limits   func() []*wire.Limit
+		OnLimits func(list []*wire.Limit)
+		Log      logr.Logger
 
-		now      atomic.Pointer[View]
-		once     sync.Once     // Makes first.
-		first    chan struct{} // Closed when a configuration is in force.
-		mu       sync.Mutex    // Of what follows.
-		replicas []netip.AddrPort
-		next     int
-		stop     context.CancelFunc // Ends the question that is under way.
-		probed   time.Time
-		answers  [keepAnswers]time.Duration // Of the last questions whether it lives.
-		answered int                        // How many were answered.
-		gone     map[string]struct{}        // Upstreams that this entry found replaced.
+		view           atomic.Pointer[View]
+		configuredOnce sync.Once     // Creates configured.
+		configured     chan struct{} // Closed once a configuration is in force.
+		mu             sync.Mutex    // Guards the fields below and updates of view.
+		replicas       []netip.AddrPort
+		nextReplica    int
+		cancelPoll     context.CancelFunc // Cancels the current poll.
+		lastProbe      time.Time
+		probeTimes     [probeHistory]time.Duration // Round-trip times of the last probes, a ring buffer.
+		probeCount     int                         // Number of probes answered so far.
+		replaced       map[string]struct{}         // Upstreams reported to Replaced.
 	}
 
 	caller interface {
@@ -80,51 +84,51 @@
 	}
 )
 
-// View returns what is known now, never nil.
-func (w *Watch) View() *View {
-	if v := w.now.Load(); v != nil {
+// View returns the current snapshot. It is never nil.
+func (w *Watcher) View() *View {
+	if v := w.view.Load(); v != nil {
 		return v
 	}
 	return &View{}
 }
 
-// Configured is closed once a configuration is in force here.
-func (w *Watch) Configured() <-chan struct{} {
-	w.once.Do(func() { w.first = make(chan struct{}) })
-	return w.first
+// Configured returns a channel that is closed once this entry has installed a configuration.
+func (w *Watcher) Configured() <-chan struct{} {
+	w.configuredOnce.Do(func() { w.configured = make(chan struct{}) })
+	return w.configured
 }
 
-// Owner returns the scheduler of a pool, nil while none is known.
-func (w *Watch) Owner(string) *wire.Member { return w.View().Owner }
+// Owner returns the scheduler, which is the same for all pools, or nil while none is known.
+func (w *Watcher) Owner(string) *wire.Member { return w.View().Owner }
 
-// Alive lists no members: entries pass nothing on for each other.
-func (w *Watch) Alive() []*wire.Member { return nil }
+// Alive returns no members, because entries do not relay frames for each other.
+func (w *Watcher) Alive() []*wire.Member { return nil }
 
-// Serve follows the leader until ctx ends.
-func (w *Watch) Serve(ctx context.Context) error {
-	to, late := found{}, 0
-	var measures sync.WaitGroup
-	defer measures.Wait()
+// Serve finds the scheduler and polls it until ctx ends.
+func (w *Watcher) Serve(ctx context.Context) error {
+	to, late := target{}, 0
+	var probes sync.WaitGroup
+	defer probes.Wait()
 	for ctx.Err() == nil {
 		if !to.addr.IsValid() {
-			to = w.find(ctx)
+			to = w.findScheduler(ctx)
 		}
 		if !to.addr.IsValid() {
-			w.lose("no control replica leads")
+			w.dropScheduler("no control replica leads")
 			select {
 			case <-ctx.Done():
-			case <-time.After(noneWait):
+			case <-time.After(findRetryDelay):
 			}
 			continue
 		}
-		err := w.ask(ctx, to, w.limit(late))
+		err := w.poll(ctx, to, w.nextPollTimeout(late))
 		switch {
 		case err == nil:
 			late = 0
-			leader := to.addr // The loop goes on to another one meanwhile.
-			measures.Go(func() { w.measure(ctx, leader) })
+			leader := to.addr // A copy, because to may change while the probe runs.
+			probes.Go(func() { w.measureLatency(ctx, leader) })
 			if to.local {
-				to = w.beyond(ctx, to)
+				to = w.recheckLeader(ctx, to)
 			}
 			continue
 		case ctx.Err() != nil:
@@ -132,39 +136,41 @@
 		case w.View().Owner == nil && errors.Is(err, context.DeadlineExceeded):
 			late++
 		}
-		w.lose(err.Error())
-		to = found{addr: hinted(err)}
+		w.dropScheduler(err.Error())
+		to = target{addr: hintedLeader(err)}
 	}
 	return ctx.Err()
 }
 
-// beyond looks for a leader while a scheduler of this data centre alone is followed.
-func (w *Watch) beyond(ctx context.Context, local found) found {
-	f := w.find(ctx)
+// recheckLeader looks for a leader while the entry follows a replica that schedules only for this
+// data centre. It returns the leader, or local if there is none.
+func (w *Watcher) recheckLeader(ctx context.Context, local target) target {
+	f := w.findScheduler(ctx)
 	if !f.addr.IsValid() || f.local {
 		return local
 	}
-	w.lose("a leader is reached again")
+	w.dropScheduler("a leader is reachable again")
 	return f
 }
 
-// limit is how long an answer may take after so many late ones in a row.
-func (w *Watch) limit(late int) time.Duration {
+// nextPollTimeout returns the timeout of the next poll, where late is the number of first polls
+// in a row that timed out.
+func (w *Watcher) nextPollTimeout(late int) time.Duration {
 	if w.View().Owner != nil {
-		return askLimit
+		return pollTimeout
 	}
-	return min(firstLimit<<min(late, mostDoubled), askLimit)
+	return min(firstPollTimeout<<min(late, maxTimeoutDoublings), pollTimeout)
 }
 
-// ask waits for news of the leader and takes them.
-func (w *Watch) ask(ctx context.Context, to found, limit time.Duration) error {
-	v, wait := w.View(), waitFor
+// poll sends one long poll and applies the news in its answer.
+func (w *Watcher) poll(ctx context.Context, to target, timeout time.Duration) error {
+	v, wait := w.View(), pollWait
 	if to.local {
-		wait = localWait
+		wait = localPollWait
 	}
-	var rates []*wire.AccountUsage
-	if v.Owner == nil && w.Rates != nil {
-		rates = w.Rates()
+	var usage []*wire.AccountUsage
+	if v.Owner == nil && w.Usage != nil {
+		usage = w.Usage()
 	}
 	var crashes *wire.Crashes
 	if v.Owner == nil && w.Crashes != nil {
@@ -174,67 +180,67 @@
 	if v.Owner == nil && w.Limits != nil {
 		limits = w.Limits()
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	w.mu.Lock()
-	w.stop = cancel
+	w.cancelPoll = cancel
 	w.mu.Unlock()
 	f, err := w.Mesh.Call(ctx, to.addr, &wire.Frame{Body: &wire.Frame_Watch{Watch: &wire.Watch{
-		Node: w.Node, Incarnation: w.Incarnation, DataCentre: w.Centre, Address: w.Self.String(),
+		Node: w.Node, Incarnation: w.Incarnation, DataCentre: w.DataCentre, Address: w.PeerAddress.String(),
 		Version: v.Version, Revision: v.Revision, WaitUs: wait.Microseconds(), Leader: v.Owner.GetIncarnation(),
-		Rates: rates, Entries: int64(v.Entries), Alone: to.local, Crashes: crashes, Bans: v.bans, Limits: limits,
+		Rates: usage, Entries: int64(v.Entries), Alone: to.local, Crashes: crashes, Bans: v.bansRevision, Limits: limits,
 	}}})
 	if err != nil {
-		return fmt.Errorf("watch: ask %s: %w", to.addr, err)
+		return fmt.Errorf("watch: poll %s: %w", to.addr, err)
 	}
-	return w.take(to, f.GetNews())
+	return w.applyNews(to, f.GetNews())
 }
 
-// take puts news in force. An older configuration never replaces a newer one,
-// whoever sends it.
-func (w *Watch) take(from found, n *wire.News) error {
+// applyNews updates the view with news from a scheduler. An older configuration never replaces a
+// newer one, whichever replica sends it.
+func (w *Watcher) applyNews(from target, n *wire.News) error {
 	w.learnAddrs(n.GetReplicas())
 	w.mu.Lock()
 	old := w.View()
 	v := *old
-	v.Entries, v.Heard = int(n.GetEntries()), time.Now()
-	v.Silent, v.Unreached, v.Isolated = set(n.GetSilent()), set(n.GetUnreached()), from.local
+	v.Entries, v.LastHeard = int(n.GetEntries()), time.Now()
+	v.Silent, v.Unreached, v.Isolated = stringSet(n.GetSilent()), stringSet(n.GetUnreached()), from.local
 	var err error
 	if len(n.GetDocument()) > 0 && n.GetVersion() > v.Version {
-		err = w.install(&v, n)
+		err = w.installConfig(&v, n)
 	}
 	if n.GetRevision() != old.Revision || n.GetWhole() {
-		v.apply(n, w.gone)
+		v.applyRoster(n, w.replaced)
 	}
 	if old.Index == nil && v.Index != nil {
 		defer func() {
 			w.Configured()
-			close(w.first)
+			close(w.configured)
 		}()
 	}
-	fresh := v.Owner.GetIncarnation() != n.GetLeader()
+	newScheduler := v.Owner.GetIncarnation() != n.GetLeader()
 	if b := n.GetBans(); b != nil {
-		v.bans = b.GetRevision()
-		if w.Banned != nil {
-			w.Banned(b, fresh)
+		v.bansRevision = b.GetRevision()
+		if w.OnBans != nil {
+			w.OnBans(b, newScheduler)
 		}
 	}
-	if w.Limited != nil {
-		w.Limited(n.GetLimits())
+	if w.OnLimits != nil {
+		w.OnLimits(n.GetLimits())
 	}
-	if fresh {
+	if newScheduler {
 		v.Owner = &wire.Member{Node: "control " + from.addr.String(), Incarnation: n.GetLeader(), Address: from.addr.String()}
 		w.Log.Info("Scheduler found.", "address", from.addr.String(), "incarnation", n.GetLeader(), "this-data-centre-alone", from.local)
 	}
-	w.now.Store(&v)
+	w.view.Store(&v)
 	w.mu.Unlock()
-	if fresh && w.Changed != nil {
-		w.Changed()
+	if newScheduler && w.OnSchedulerChange != nil {
+		w.OnSchedulerChange()
 	}
 	return err
 }
 
-func set(list []string) map[string]bool {
+func stringSet(list []string) map[string]bool {
 	m := make(map[string]bool, len(list))
 	for _, id := range list {
 		m[id] = true
@@ -242,8 +248,9 @@
 	return m
 }
 
-func (w *Watch) install(v *View, n *wire.News) error {
-	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(n.GetDocument())), maxDocument))
+// installConfig decompresses and parses the document in n, and puts it into v.
+func (w *Watcher) installConfig(v *View, n *wire.News) error {
+	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(n.GetDocument())), maxDocumentBytes))
 	if err != nil {
 		return fmt.Errorf("watch: document %d: %w", n.GetVersion(), err)
 	}
@@ -251,36 +258,37 @@
 	if err != nil {
 		return fmt.Errorf("watch: document %d: %w", n.GetVersion(), err)
 	}
-	v.Version, v.Index, v.Since = n.GetVersion(), index.New(cfg), time.Now()
+	v.Version, v.Index, v.InstalledAt = n.GetVersion(), index.New(cfg), time.Now()
 	w.Log.Info("Configuration in force.", "version", v.Version, "routes", len(cfg.Routes))
 	return nil
 }
 
-// Replaced takes an upstream out whose address answers as another one.
-func (w *Watch) Replaced(id string) {
+// Replaced removes an upstream from the view, because another upstream answers at its address. It
+// is added again when the roster shows that it has restarted.
+func (w *Watcher) Replaced(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.gone == nil {
-		w.gone = map[string]struct{}{}
+	if w.replaced == nil {
+		w.replaced = map[string]struct{}{}
 	}
-	w.gone[id] = struct{}{}
+	w.replaced[id] = struct{}{}
 	v := *w.View()
-	v.sort(w.gone)
-	w.now.Store(&v)
+	v.rebuildUpstreams(w.replaced)
+	w.view.Store(&v)
 }
 
-// lose notes that there is no scheduler now.
-func (w *Watch) lose(why string) {
+// dropScheduler marks the scheduler as unknown, and logs the reason if one was known.
+func (w *Watcher) dropScheduler(reason string) {
 	w.mu.Lock()
 	v := *w.View()
 	had := v.Owner != nil
 	v.Owner = nil
 	if had {
-		w.Log.Info("Scheduler lost: this entry places requests by itself.", "incarnation", w.View().Owner.GetIncarnation(), "why", why)
-		w.now.Store(&v)
+		w.Log.Info("Scheduler lost: this entry places requests by itself.", "incarnation", w.View().Owner.GetIncarnation(), "why", reason)
+		w.view.Store(&v)
 	}
 	w.mu.Unlock()
-	if had && w.Changed != nil {
-		w.Changed()
+	if had && w.OnSchedulerChange != nil {
+		w.OnSchedulerChange()
 	}
 }
--- a/io/watch/watch_test.go
+++ b/io/watch/watch_test.go
@@ -21,23 +21,23 @@
 
 var addr = netip.MustParseAddrPort("10.0.0.1:7000")
 
-// control answers an entry as told.
-type control struct {
-	mu     sync.Mutex
-	news   func(w *wire.Watch) (*wire.News, error)
-	dead   bool          // It answers nothing.
-	named  bool          // Another replica answers who leads, also while it is dead.
-	slow   time.Duration // How late news come.
-	probed time.Duration // How late it says that it lives.
-	asked  int
+// fakeControl is a control replica with configurable answers and delays.
+type fakeControl struct {
+	mu            sync.Mutex
+	news          func(w *wire.Watch) (*wire.News, error)
+	frozen        bool          // It answers no call, except as answersStatus says.
+	answersStatus bool          // Status queries are answered even while frozen.
+	newsDelay     time.Duration // Delay of answers to polls.
+	probeDelay    time.Duration // Delay of answers to probes.
+	calls         int
 }
 
-func (c *control) Call(ctx context.Context, _ netip.AddrPort, f *wire.Frame) (*wire.Frame, error) {
+func (c *fakeControl) Call(ctx context.Context, _ netip.AddrPort, f *wire.Frame) (*wire.Frame, error) {
 	c.mu.Lock()
-	dead, news, slow, probed := c.dead, c.news, c.slow, c.probed
-	c.asked++
+	frozen, news, newsDelay, probeDelay := c.frozen, c.news, c.newsDelay, c.probeDelay
+	c.calls++
 	c.mu.Unlock()
-	if dead && (!c.named || f.GetStatusQuery() == nil) {
+	if frozen && (!c.answersStatus || f.GetStatusQuery() == nil) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -48,7 +48,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(slow):
+		case <-time.After(newsDelay):
 		}
 		n, err := news(b.Watch)
 		return &wire.Frame{Body: &wire.Frame_News{News: n}}, err
@@ -56,12 +56,12 @@
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(probed):
+	case <-time.After(probeDelay):
 	}
 	return &wire.Frame{Body: &wire.Frame_BeatReply{BeatReply: &wire.BeatReply{}}}, nil
 }
 
-func pack(t *testing.T, doc string) []byte {
+func compress(t *testing.T, doc string) []byte {
 	t.Helper()
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.BestSpeed)
@@ -72,8 +72,8 @@
 	return buf.Bytes()
 }
 
-func newWatch(c *control) *Watch {
-	return &Watch{
+func newWatcher(c *fakeControl) *Watcher {
+	return &Watcher{
 		Node: "e", Incarnation: "i", Seeds: func() []netip.AddrPort { return []netip.AddrPort{addr} }, Mesh: c, Log: logr.Discard(),
 		Parse: func(doc []byte) (*conf.Config, error) {
 			if string(doc) == "bad" {
@@ -84,16 +84,16 @@
 	}
 }
 
-// News come late and out of order, from a leader and from one that was. What is
-// in force never goes back, and what can't be read changes nothing.
-func TestNothingGoesBack(t *testing.T) {
-	w := newWatch(&control{})
+// News arrives late and out of order, from a leader and from a former leader. The version in
+// force never decreases, and an invalid document changes nothing.
+func TestVersionNeverDecreases(t *testing.T) {
+	w := newWatcher(&fakeControl{})
 	for _, tc := range []struct {
 		version uint64
 		doc     string
 		want    uint64
 	}{{3, "three", 3}, {2, "two", 3}, {5, "bad", 3}, {4, "four", 4}, {4, "other", 4}} {
-		err := w.take(found{addr: addr}, &wire.News{Version: tc.version, Document: pack(t, tc.doc), Leader: "l"})
+		err := w.applyNews(target{addr: addr}, &wire.News{Version: tc.version, Document: compress(t, tc.doc), Leader: "l"})
 		must.Eq(t, tc.doc == "bad", err != nil)
 		must.Eq(t, tc.want, w.View().Version)
 		must.NotNil(t, w.View().Index)
@@ -102,7 +102,7 @@
 
 func TestRoster(t *testing.T) {
 	const serving, leaving, gone = wire.Upstream_STATE_SERVING, wire.Upstream_STATE_LEAVING, wire.Upstream_STATE_GONE
-	w := newWatch(&control{})
+	w := newWatcher(&fakeControl{})
 	for _, tc := range []struct {
 		name  string
 		news  *wire.News
@@ -116,7 +116,7 @@
 		{name: "one replaced at its address", news: &wire.News{Revision: 6, Roster: []*wire.Upstream{{Id: "d", Pool: "p"}}}, want: []string{"d"}, extra: func() { w.Replaced("c") }},
 		{name: "all anew", news: &wire.News{Whole: true, Revision: 7, Roster: []*wire.Upstream{{Id: "c", Pool: "p"}, {Id: "e", Pool: "p"}}}, want: []string{"e"}},
 	} {
-		must.NoError(t, w.take(found{addr: addr}, tc.news))
+		must.NoError(t, w.applyNews(target{addr: addr}, tc.news))
 		if tc.extra != nil {
 			tc.extra()
 		}
@@ -128,18 +128,18 @@
 	}
 }
 
-// The scheduler freezes. A ticket that waits there makes the entry ask whether
-// it lives; half a second later the entry places requests by itself, and when
-// the scheduler answers again, or another does, it is used again.
+// The scheduler freezes while a ticket waits there, and the entry probes it. Within half a second
+// the entry has no scheduler and places requests by itself. It follows the scheduler again once
+// that answers.
 func TestFrozenScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &control{news: func(*wire.Watch) (*wire.News, error) {
+		c := &fakeControl{news: func(*wire.Watch) (*wire.News, error) {
 			time.Sleep(time.Second)
 			return &wire.News{Leader: "l"}, nil
 		}}
-		w := newWatch(c)
+		w := newWatcher(c)
 		changes := 0
-		w.Changed = func() { changes++ }
+		w.OnSchedulerChange = func() { changes++ }
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- w.Serve(ctx) }()
@@ -148,13 +148,13 @@
 		w.Doubt(ctx)
 		must.NotNil(t, w.Owner("p"), must.Sprint("it answers"))
 		c.mu.Lock()
-		c.dead = true
+		c.frozen = true
 		c.mu.Unlock()
-		time.Sleep(probeEvery)
+		time.Sleep(minProbeInterval)
 		w.Doubt(ctx)
 		must.Nil(t, w.Owner("p"))
 		c.mu.Lock()
-		c.dead = false
+		c.frozen = false
 		c.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		must.NotNil(t, w.Owner("p"))
@@ -164,15 +164,15 @@
 	})
 }
 
-// A replica that doesn't lead names another, and that one is asked next.
-func TestSentOnToTheLeader(t *testing.T) {
-	must.Eq(t, addr, hinted(errors.WithStack(&wire.Fault{Code: wire.CodeMoved, Leader: addr.String()})))
-	must.False(t, hinted(&wire.Fault{}).IsValid())
-	must.False(t, hinted(errors.New("link: down")).IsValid())
+// A replica that does not lead names the leader in its fault.
+func TestLeaderHint(t *testing.T) {
+	must.Eq(t, addr, hintedLeader(errors.WithStack(&wire.Fault{Code: wire.CodeMoved, Leader: addr.String()})))
+	must.False(t, hintedLeader(&wire.Fault{}).IsValid())
+	must.False(t, hintedLeader(errors.New("link: down")).IsValid())
 }
 
-// follow runs the watch until the test ends.
-func follow(t *testing.T, w *Watch) {
+// serve runs w until the test ends.
+func serve(t *testing.T, w *Watcher) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -183,124 +183,125 @@
 	})
 }
 
-// held answers as a leader does: at once to an entry that does not know it, and
-// else later.
-func held(w *wire.Watch) (*wire.News, error) {
+// longPoll answers a poll as a leader without changes does: at once if the entry does not know the
+// scheduler yet, and otherwise after pollWait.
+func longPoll(w *wire.Watch) (*wire.News, error) {
 	if w.GetLeader() == "l" {
-		time.Sleep(waitFor)
+		time.Sleep(pollWait)
 	}
 	return &wire.News{Leader: "l"}, nil
 }
 
-// The scheduler freezes, and for a moment the other replicas still name it as
-// their leader. The entry asks it in vain and must not wait for its answer as it
-// waits for news: the next leader is there half a second later, and until it is
-// found callers are served from this entry's small share of places and rates.
+// The scheduler freezes, and for a moment the other replicas still name it as their leader. The
+// entry's first poll there must time out sooner than a long poll does: the next leader is elected
+// half a second later, and until the entry finds it, callers are served from this entry's small
+// share of slots and rates.
 func TestFrozenSchedulerStillNamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &control{news: held, dead: true, named: true}
-		w := newWatch(c)
-		follow(t, w)
-		time.Sleep(400 * time.Millisecond) // Not at firstLimit, where the next question goes out in the same moment.
+		c := &fakeControl{news: longPoll, frozen: true, answersStatus: true}
+		w := newWatcher(c)
+		serve(t, w)
+		time.Sleep(400 * time.Millisecond) // Before firstPollTimeout, when the next poll starts.
 		must.Nil(t, w.Owner("p"))
 		c.mu.Lock()
-		c.dead = false
+		c.frozen = false
 		c.mu.Unlock()
 		time.Sleep(500 * time.Millisecond)
 		must.NotNil(t, w.Owner("p"))
 	})
 }
 
-// News that take long to come, over a slow link, get through in the end.
+// On a slow link the first answer takes longer than firstPollTimeout. The growing timeout lets the
+// entry find its scheduler all the same.
 func TestSlowFirstNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &control{news: held, slow: 1500 * time.Millisecond}
-		w := newWatch(c)
-		follow(t, w)
+		c := &fakeControl{news: longPoll, newsDelay: 1500 * time.Millisecond}
+		w := newWatcher(c)
+		serve(t, w)
 		time.Sleep(5 * time.Second)
 		must.NotNil(t, w.Owner("p"))
 	})
 }
 
-// Replicas that do not lead say so at once. That makes no answer late: the next
-// one that stays away is given up as soon as the first.
-func TestOthersAreNotLate(t *testing.T) {
+// Replicas that do not lead refuse polls at once. These refusals must not count as timeouts, or
+// the first poll at a frozen leader would get a longer timeout than firstPollTimeout.
+func TestRefusalDoesNotRaisePollTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var leads atomic.Bool
-		c := &control{slow: 20 * time.Millisecond, named: true, news: func(w *wire.Watch) (*wire.News, error) {
+		c := &fakeControl{newsDelay: 20 * time.Millisecond, answersStatus: true, news: func(w *wire.Watch) (*wire.News, error) {
 			if !leads.Load() {
 				return nil, errors.New("another leads")
 			}
-			return held(w)
+			return longPoll(w)
 		}}
-		w := newWatch(c)
-		follow(t, w)
+		w := newWatcher(c)
+		serve(t, w)
 		time.Sleep(time.Second)
 		c.mu.Lock()
-		c.dead = true
+		c.frozen = true
 		c.mu.Unlock()
 		time.Sleep(300 * time.Millisecond)
 		c.mu.Lock()
-		c.dead = false
+		c.frozen = false
 		c.mu.Unlock()
 		leads.Store(true)
-		time.Sleep(firstLimit)
+		time.Sleep(firstPollTimeout)
 		must.NotNil(t, w.Owner("p"))
 	})
 }
 
-// One of two control replicas has no power, and the entry asks it first. The
-// other one leads: the entry must not wait for the silent one before it asks.
-func TestSilentReplicaDelaysNothing(t *testing.T) {
+// One of two control replicas is down, and the entry queries it first. The other one leads, and
+// the entry must query it without waiting for the first.
+func TestSilentReplicaDoesNotDelayFind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &control{slow: pause / 2, news: func(*wire.Watch) (*wire.News, error) { return &wire.News{Leader: "l"}, nil }}
-		w := newWatch(c)
-		dark := netip.MustParseAddrPort("10.0.0.2:7000")
-		w.Seeds = func() []netip.AddrPort { return []netip.AddrPort{addr, dark} }
-		w.Mesh = silent{c, dark}
+		c := &fakeControl{newsDelay: statusQueryInterval / 2, news: func(*wire.Watch) (*wire.News, error) { return &wire.News{Leader: "l"}, nil }}
+		w := newWatcher(c)
+		silentAddr := netip.MustParseAddrPort("10.0.0.2:7000")
+		w.Seeds = func() []netip.AddrPort { return []netip.AddrPort{addr, silentAddr} }
+		w.Mesh = silentReplica{c, silentAddr}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- w.Serve(ctx) }()
-		time.Sleep(2 * pause)
+		time.Sleep(2 * statusQueryInterval)
 		must.NotNil(t, w.View().Owner)
 		cancel()
 		<-done
 	})
 }
 
-// silent is a control of which one address answers nothing.
-type silent struct {
-	*control
-	dark netip.AddrPort
+// silentReplica is a fakeControl that never answers at silentAddr.
+type silentReplica struct {
+	*fakeControl
+	silentAddr netip.AddrPort
 }
 
-func (s silent) Call(ctx context.Context, to netip.AddrPort, f *wire.Frame) (*wire.Frame, error) {
-	if to == s.dark {
+func (s silentReplica) Call(ctx context.Context, to netip.AddrPort, f *wire.Frame) (*wire.Frame, error) {
+	if to == s.silentAddr {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return s.control.Call(ctx, to, f)
+	return s.fakeControl.Call(ctx, to, f)
 }
 
-// replicas are two control replicas: one in this entry's data centre, which is cut
-// off, and one elsewhere that answers or does not.
-type replicas struct {
-	mu        sync.Mutex
-	here      netip.AddrPort
-	elsewhere string // What the other one does: "silent", "elects" or "leads".
+// cutOffReplicas is two control replicas: one in this entry's data centre, which reports that it is
+// cut off, and one in another data centre, which behaves as remoteState says.
+type cutOffReplicas struct {
+	mu          sync.Mutex
+	localAddr   netip.AddrPort
+	remoteState string // "silent", "elects" (no leader yet) or "leads".
 }
 
-func (r *replicas) Call(ctx context.Context, to netip.AddrPort, f *wire.Frame) (*wire.Frame, error) {
+func (r *cutOffReplicas) Call(ctx context.Context, to netip.AddrPort, f *wire.Frame) (*wire.Frame, error) {
 	r.mu.Lock()
-	does := r.elsewhere
+	state := r.remoteState
 	r.mu.Unlock()
-	if to != r.here && does == "silent" {
+	if to != r.localAddr && state == "silent" {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	if f.GetWatch() != nil {
 		id := "leader"
-		if to == r.here {
+		if to == r.localAddr {
 			id = "local"
 			if !f.GetWatch().GetAlone() {
 				return nil, errors.New("this replica doesn't lead")
@@ -313,19 +314,19 @@
 	}
 	s := &wire.Status{DataCentre: "z2"}
 	switch {
-	case to == r.here:
+	case to == r.localAddr:
 		s = &wire.Status{DataCentre: "z1", CutOff: true}
-	case does == "leads":
+	case state == "leads":
 		s.Leader = to.String()
 	}
 	return &wire.Frame{Body: &wire.Frame_Status{Status: s}}, nil
 }
 
-// This entry's data centre is cut off, and its control replica says so. The entry
-// follows that one within a few ways there and back, and knows that upstreams
-// elsewhere can't be reached. Once a leader answers it follows the leader. While
-// replicas elsewhere answer that they elect one, it is no cut: the entry waits.
-func TestFollowsItsDataCentreBehindACut(t *testing.T) {
+// This entry's data centre is cut off, and its control replica reports it. Within a few round
+// trips the entry follows that replica and marks its view as isolated. Once a leader elsewhere
+// answers, the entry follows the leader. While replicas elsewhere answer but are still electing a
+// leader, the data centre is not cut off, and the entry waits.
+func TestFollowsLocalSchedulerWhenCutOff(t *testing.T) {
 	for _, tc := range []struct {
 		elsewhere, want string
 		isolated        bool
@@ -336,18 +337,18 @@
 	} {
 		t.Run(tc.elsewhere, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := &replicas{here: addr, elsewhere: tc.elsewhere}
-				w := newWatch(nil)
-				w.Centre, w.Mesh = "z1", r
+				r := &cutOffReplicas{localAddr: addr, remoteState: tc.elsewhere}
+				w := newWatcher(nil)
+				w.DataCentre, w.Mesh = "z1", r
 				w.Seeds = func() []netip.AddrPort { return []netip.AddrPort{addr, netip.MustParseAddrPort("10.0.0.2:7000")} }
-				follow(t, w)
-				time.Sleep(2*pause + 2*localGrace)
+				serve(t, w)
+				time.Sleep(2*statusQueryInterval + 2*cutOffGrace)
 				must.Eq(t, tc.want, w.Owner("p").GetIncarnation())
 				must.Eq(t, tc.isolated, w.View().Isolated)
 				r.mu.Lock()
-				r.elsewhere = "leads"
+				r.remoteState = "leads"
 				r.mu.Unlock()
-				time.Sleep(2 * localWait)
+				time.Sleep(2 * localPollWait)
 				must.Eq(t, "leader", w.Owner("p").GetIncarnation())
 				must.False(t, w.View().Isolated)
 			})
@@ -355,26 +356,26 @@
 	}
 }
 
-// The scheduler has answered within milliseconds for a while, and freezes. The entry
-// places requests by itself before a wait of a quarter of a second would have made
-// them late. One that took long all the time is given that long.
-func TestPatienceWithAScheduler(t *testing.T) {
+// A scheduler that has answered probes within milliseconds freezes. The entry drops it after a
+// timeout much shorter than 250 ms, which would make waiting requests miss their objectives. A
+// scheduler whose answers have always been slow gets a longer timeout.
+func TestProbeTimeoutAdapts(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		slow, limit time.Duration
 	}{
-		{"quick", 2 * time.Millisecond, leastProbe},
+		{"quick", 2 * time.Millisecond, minProbeTimeout},
 		{"slow", 40 * time.Millisecond, 160 * time.Millisecond},
-		{"too slow", 100 * time.Millisecond, probeLimit},
+		{"too slow", 100 * time.Millisecond, maxProbeTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := &control{news: held, probed: tc.slow}
-				w := newWatch(c)
-				follow(t, w)
-				time.Sleep(2 * keepAnswers * waitFor)
+				c := &fakeControl{news: longPoll, probeDelay: tc.slow}
+				w := newWatcher(c)
+				serve(t, w)
+				time.Sleep(2 * probeHistory * pollWait)
 				c.mu.Lock()
-				c.dead = true
+				c.frozen = true
 				c.mu.Unlock()
 				start := time.Now()
 				w.Doubt(t.Context())
