--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -53,7 +53,7 @@
 	notice *notice.Notice
 	abroad abroad.Abroad
 	grant  *grant.Grant
-	follow *follow.Follow
+	follow *follow.Follower
 	stats  *stats.Stats
 	client *client.Client
 	sup    *suture.Supervisor
@@ -100,8 +100,8 @@
 		Seeds: set.Seeds, Sender: e.mesh, Lost: e.owner.Forget, Changed: e.changed, Log: log.WithName("member"),
 	}
 	control := &leader.Leader{Replicas: set.Control, Caller: e.mesh}
-	e.follow = &follow.Follow{
-		Site: set.DataCentre, Beat: e.beat, Replicas: set.Control, Neighbours: e.neighbours, Met: e.abroad.Met, Caller: e.mesh,
+	e.follow = &follow.Follower{
+		DataCentre: set.DataCentre, NewBeat: e.beat, Replicas: set.Control, Neighbours: e.neighbours, OnRemoteEntries: e.abroad.Met, Caller: e.mesh,
 		Install: func(_ uint64, cfg *conf.Config) { e.sched.Install(cfg) }, Log: log.WithName("follow"),
 	}
 	e.grant = &grant.Grant{
--- a/io/follow/follow.go
+++ b/io/follow/follow.go
@@ -1,4 +1,6 @@
-// Package follow keeps an entry's configuration up to date.
+// Package follow keeps an entry's configuration up to date. The entry sends heartbeats to the
+// control replicas, whose answers carry a newer configuration, and falls back to neighbouring
+// entries while no replica is up to date.
 package follow
 
 import (
@@ -18,66 +20,69 @@
 )
 
 const (
-	// BeatEvery is the interval at which an entry asks for a newer configuration.
-	// With it a change is in force about a second after it was accepted.
-	BeatEvery = time.Second
-	// AnswerLimit is how long one replica may take. A silent one costs a beat
-	// no more than that before the next is asked.
-	AnswerLimit = 700 * time.Millisecond
-	// firstNeighbours are asked by an entry that has nothing in force.
-	firstNeighbours = 3
-	// firstWait is how long such an entry looks for a replica that is surely up
-	// to date, before it takes the best of what others have.
-	firstWait = 4 * time.Second
+	// BeatInterval is the interval between two heartbeats, each of which asks for a newer
+	// configuration. A change is in force about a second after control has accepted it.
+	BeatInterval = time.Second
+	// CallTimeout is the timeout of a call to one replica or neighbour, and so the longest delay
+	// that an unresponsive replica causes before the entry tries the next.
+	CallTimeout = 700 * time.Millisecond
+	// startupNeighbours is the number of neighbours that an entry without a configuration asks in
+	// each interval.
+	startupNeighbours = 3
+	// startupGrace is how long an entry without a configuration looks for a replica that is up to
+	// date, before it installs the newest configuration of those that may be behind.
+	startupGrace = 4 * time.Second
 )
 
-// errStale is a replica's word that it may be behind, or the sign of it.
+// errStale is returned if a replica reports that it may be behind, or answers with an older
+// version than this entry has.
 var errStale = errors.New("follow: replica may be behind")
 
 type (
-	// Follow beats at one control replica as long as that one is up to date, and
-	// else at the next. It installs only higher versions, so that no answer,
-	// whoever gives it, can bring an old one back. While no replica is up to date
-	// it asks neighbours, so that an entry that is cut off from control, or has
-	// just started, still learns what another entry of its data centre has. Its
-	// exported fields are set before Serve is called.
-	Follow struct {
-		Site       string
-		Beat       func() *wire.Beat
+	// Follower sends heartbeats to one control replica for as long as that replica is up to date,
+	// and then moves on to the next. It installs only higher versions, so that no answer can
+	// bring back an old one. While no replica is up to date, it asks neighbours, so that an entry
+	// that is cut off from control or has just started gets the newest configuration of its data
+	// centre. Its exported fields are set before Serve is called.
+	Follower struct {
+		DataCentre string
+		NewBeat    func() *wire.Beat // Builds a heartbeat; its version is filled in later.
 		Replicas   []netip.AddrPort
-		Neighbours func() []netip.AddrPort // Peer addresses of other entries; nil for none.
-		Met        func([]*wire.Member)    // Takes the entries of other data centres that control names; nil for none.
-		Caller     caller
-		Install    func(version uint64, cfg *conf.Config)
-		Log        logr.Logger
+		Neighbours func() []netip.AddrPort // Peer addresses of entries here; may be nil.
+		// OnRemoteEntries is called with the entries of other data centres that an answer lists,
+		// which may be none. It may be nil.
+		OnRemoteEntries func([]*wire.Member)
+		Caller          caller
+		Install         func(version uint64, cfg *conf.Config) // Called with each new configuration.
+		Log             logr.Logger
 
-		now   atomic.Pointer[inForce]
-		began time.Time
-		next  int // Replica to beat at.
-		ask   int // Neighbour to ask.
-		lost  bool
+		current       atomic.Pointer[activeConfig]
+		startedAt     time.Time
+		nextReplica   int // Index of the replica for the next heartbeat.
+		nextNeighbour int // Index of the neighbour that was asked last.
+		controlLost   bool
 	}
 
 	caller interface {
 		Call(ctx context.Context, to netip.AddrPort, f *wire.Frame) (*wire.Frame, error)
 	}
 
-	inForce struct {
-		version uint64
-		doc     []byte
-		cfg     *conf.Config
+	activeConfig struct {
+		version  uint64
+		document []byte
+		cfg      *conf.Config
 	}
 )
 
-// Serve beats until ctx ends.
-func (f *Follow) Serve(ctx context.Context) error {
-	// Each entry starts with another replica, so that all carry their part.
-	f.next = rand.IntN(max(len(f.Replicas), 1)) //nolint:gosec // It spreads load; no secret.
-	f.began = time.Now()
-	tick := time.NewTicker(BeatEvery)
+// Serve sends heartbeats until ctx ends.
+func (f *Follower) Serve(ctx context.Context) error {
+	// A random first replica spreads the entries over all replicas.
+	f.nextReplica = rand.IntN(max(len(f.Replicas), 1)) //nolint:gosec // Only spreads load.
+	f.startedAt = time.Now()
+	tick := time.NewTicker(BeatInterval)
 	defer tick.Stop()
 	for {
-		f.once(ctx)
+		f.refresh(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -86,61 +91,61 @@
 	}
 }
 
-// Config returns what is in force, or nil before the first version is known.
-func (f *Follow) Config() *conf.Config {
-	if now := f.now.Load(); now != nil {
+// Config returns the configuration in force, or nil before the first one.
+func (f *Follower) Config() *conf.Config {
+	if now := f.current.Load(); now != nil {
 		return now.cfg
 	}
 	return nil
 }
 
-// Version returns the version in force, zero before the first.
-func (f *Follow) Version() uint64 {
-	if now := f.now.Load(); now != nil {
+// Version returns the version in force, or zero before the first one.
+func (f *Follower) Version() uint64 {
+	if now := f.current.Load(); now != nil {
 		return now.version
 	}
 	return 0
 }
 
-// Answer tells a neighbour what is in force here, if that is newer.
-func (f *Follow) Answer(q *wire.ConfigQuery) *wire.BeatReply {
+// Answer answers a neighbour's query with the version in force, and with its document if that is
+// newer than the neighbour's.
+func (f *Follower) Answer(q *wire.ConfigQuery) *wire.BeatReply {
 	r := &wire.BeatReply{Version: f.Version()}
-	if now := f.now.Load(); now != nil && now.version > q.GetVersion() {
-		r.Document = now.doc
+	if now := f.current.Load(); now != nil && now.version > q.GetVersion() {
+		r.Document = now.document
 	}
 	return r
 }
 
-// once beats at one replica after the other until one is up to date. What those
-// offer that may be behind is taken only when none is: an entry that has just
-// started would else serve an old version for a moment, and its site would have
-// gone back to it.
-func (f *Follow) once(ctx context.Context) {
+// refresh sends a heartbeat to one replica after the other until one is up to date. It applies
+// answers of replicas that may be behind only if none is up to date. Otherwise an entry that has
+// just started would serve an old version for a moment, and its data centre would go back to it.
+func (f *Follower) refresh(ctx context.Context) {
 	var err error
 	var best *wire.BeatReply
 	for range f.Replicas {
 		var r *wire.BeatReply
-		if r, err = f.beat(ctx, f.Replicas[f.next]); err == nil {
-			f.note(f.take(r))
+		if r, err = f.sendBeat(ctx, f.Replicas[f.nextReplica]); err == nil {
+			f.logControlState(f.apply(r))
 			return
 		}
 		best = newer(best, r)
-		f.next = (f.next + 1) % len(f.Replicas)
+		f.nextReplica = (f.nextReplica + 1) % len(f.Replicas)
 		if ctx.Err() != nil {
 			return
 		}
 	}
-	f.note(err)
+	f.logControlState(err)
 	best = newer(best, f.askNeighbours(ctx))
-	if f.Version() == 0 && time.Since(f.began) < firstWait {
-		return // A leader may be about to be elected.
+	if f.Version() == 0 && time.Since(f.startedAt) < startupGrace {
+		return // An election may be under way.
 	}
-	if err := f.take(best); err != nil {
-		f.Log.Info("Configuration not taken.", "err", err.Error())
+	if err := f.apply(best); err != nil {
+		f.Log.Info("Configuration not installed.", "err", err.Error())
 	}
 }
 
-// newer returns the answer with the higher version; either may be nil.
+// newer returns the answer with the higher version. Either one may be nil.
 func newer(a, b *wire.BeatReply) *wire.BeatReply {
 	if b.GetVersion() > a.GetVersion() {
 		return b
@@ -148,16 +153,17 @@
 	return a
 }
 
-// beat returns errStale with the answer of a replica that may be behind.
-func (f *Follow) beat(ctx context.Context, to netip.AddrPort) (*wire.BeatReply, error) {
-	b := f.Beat()
+// sendBeat sends a heartbeat to one replica. If the replica may be behind, sendBeat returns
+// errStale along with its answer.
+func (f *Follower) sendBeat(ctx context.Context, to netip.AddrPort) (*wire.BeatReply, error) {
+	b := f.NewBeat()
 	b.Version = f.Version()
 	r, err := f.call(ctx, to, &wire.Frame{Body: &wire.Frame_Beat{Beat: b}})
 	if err != nil {
 		return nil, err
 	}
-	if f.Met != nil {
-		f.Met(r.GetNeighbours())
+	if f.OnRemoteEntries != nil {
+		f.OnRemoteEntries(r.GetNeighbours())
 	}
 	if r.GetStale() || r.GetVersion() < b.GetVersion() {
 		return r, fmt.Errorf("%w: %s", errStale, to)
@@ -165,24 +171,24 @@
 	return r, nil
 }
 
-// askNeighbours asks one neighbour a beat, in turn, and a few at once as long as
-// nothing is in force here. It returns the newest answer, or nil.
-func (f *Follow) askNeighbours(ctx context.Context) *wire.BeatReply {
+// askNeighbours asks the next neighbour in turn, or up to startupNeighbours of them while this
+// entry has no configuration. It returns the newest answer, or nil.
+func (f *Follower) askNeighbours(ctx context.Context) *wire.BeatReply {
 	if f.Neighbours == nil {
 		return nil
 	}
 	list := f.Neighbours()
 	n := min(len(list), 1)
 	if f.Version() == 0 {
-		n = min(len(list), firstNeighbours)
+		n = min(len(list), startupNeighbours)
 	}
 	var best *wire.BeatReply
 	for range n {
-		f.ask++
+		f.nextNeighbour++
 		q := &wire.Frame{Body: &wire.Frame_ConfigQuery{ConfigQuery: &wire.ConfigQuery{Version: f.Version()}}}
-		r, err := f.call(ctx, list[f.ask%len(list)], q)
+		r, err := f.call(ctx, list[f.nextNeighbour%len(list)], q)
 		if err != nil {
-			f.Log.V(1).Info("No answer from a neighbour.", "err", err.Error())
+			f.Log.V(1).Info("Query to a neighbour failed.", "err", err.Error())
 			continue
 		}
 		best = newer(best, r)
@@ -190,9 +196,9 @@
 	return best
 }
 
-// call asks a peer for a newer document.
-func (f *Follow) call(ctx context.Context, to netip.AddrPort, q *wire.Frame) (*wire.BeatReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, AnswerLimit)
+// call sends a heartbeat or a query to a peer and returns its answer.
+func (f *Follower) call(ctx context.Context, to netip.AddrPort, q *wire.Frame) (*wire.BeatReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	r, err := f.Caller.Call(ctx, to, q)
 	if err != nil {
@@ -201,19 +207,21 @@
 	return r.GetBeatReply(), nil
 }
 
-// note logs when control is lost and found again, and not each beat.
-func (f *Follow) note(err error) {
-	if lost := err != nil; lost != f.lost {
-		f.lost = lost
+// logControlState logs when control becomes unavailable and when it is available again, rather than
+// at each heartbeat.
+func (f *Follower) logControlState(err error) {
+	if lost := err != nil; lost != f.controlLost {
+		f.controlLost = lost
 		if lost {
-			f.Log.Info("No control replica is up to date; the configuration stays.", "version", f.Version(), "err", err.Error())
+			f.Log.Info("No control replica is up to date; keeping the current configuration.", "version", f.Version(), "err", err.Error())
 		} else {
-			f.Log.Info("A control replica is up to date.", "version", f.Version())
+			f.Log.Info("A control replica is up to date again.", "version", f.Version())
 		}
 	}
 }
 
-func (f *Follow) take(r *wire.BeatReply) error {
+// apply installs the configuration in an answer if it is newer than the one in force.
+func (f *Follower) apply(r *wire.BeatReply) error {
 	if r.GetVersion() <= f.Version() || len(r.GetDocument()) == 0 {
 		return nil
 	}
@@ -221,11 +229,11 @@
 	if err != nil {
 		return fmt.Errorf("follow: version %d: %w", r.GetVersion(), err)
 	}
-	cfg, err := set.For(f.Site)
+	cfg, err := set.For(f.DataCentre)
 	if err != nil {
 		return fmt.Errorf("follow: version %d: %w", r.GetVersion(), err)
 	}
-	f.now.Store(&inForce{r.GetVersion(), r.GetDocument(), cfg})
+	f.current.Store(&activeConfig{r.GetVersion(), r.GetDocument(), cfg})
 	f.Install(r.GetVersion(), cfg)
 	f.Log.Info("Configuration in force.", "version", r.GetVersion())
 	return nil
