--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -30,8 +30,8 @@
 	"azurelane/io/lease"
 	"azurelane/io/member"
 	"azurelane/io/mesh"
-	"azurelane/io/notice"
 	"azurelane/io/owner"
+	"azurelane/io/relay"
 	"azurelane/io/sched"
 	"azurelane/io/setup"
 	"azurelane/io/stats"
@@ -50,7 +50,7 @@
 	sched  *sched.Sched
 	member *member.Member
 	owner  *owner.Owner
-	notice *notice.Notice
+	notice *relay.Relay
 	abroad abroad.Abroad
 	grant  *grant.Grant
 	follow *follow.Follower
@@ -107,8 +107,8 @@
 	e.grant = &grant.Grant{
 		Self: set.Node, Incarnation: incarnation, Local: desk{e.owner, e.sched}, Members: e, Mesh: e.mesh, Abroad: e.farEntries, Log: log.WithName("grant"),
 	}
-	e.notice = &notice.Notice{
-		Owners: e.owners, Alive: e.member.Alive, Mesh: e.mesh, Take: e.sched.Announce, Log: log.WithName("notice"),
+	e.notice = &relay.Relay{
+		Owners: e.owners, Alive: e.member.Alive, Mesh: e.mesh, Deliver: e.sched.Announce, Log: log.WithName("notice"),
 	}
 	e.front = &front.Front{
 		Node: set.Node, Incarnation: incarnation, Address: set.Peers.String(), Config: e.follow.Config,
