--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -18,7 +18,6 @@
 	"azurelane/core/conf"
 	"azurelane/core/kernel"
 	"azurelane/core/wire"
-	"azurelane/io/abroad"
 	"azurelane/io/admin"
 	"azurelane/io/certs"
 	"azurelane/io/client"
@@ -32,6 +31,7 @@
 	"azurelane/io/mesh"
 	"azurelane/io/owner"
 	"azurelane/io/relay"
+	"azurelane/io/remote"
 	"azurelane/io/sched"
 	"azurelane/io/setup"
 	"azurelane/io/stats"
@@ -51,7 +51,7 @@
 	member *member.Member
 	owner  *owner.Owner
 	notice *relay.Relay
-	abroad abroad.Abroad
+	abroad remote.Directory
 	grant  *grant.Grant
 	follow *follow.Follower
 	stats  *stats.Stats
@@ -101,7 +101,7 @@
 	}
 	control := &leader.Leader{Replicas: set.Control, Caller: e.mesh}
 	e.follow = &follow.Follower{
-		DataCentre: set.DataCentre, NewBeat: e.beat, Replicas: set.Control, Neighbours: e.neighbours, OnRemoteEntries: e.abroad.Met, Caller: e.mesh,
+		DataCentre: set.DataCentre, NewBeat: e.beat, Replicas: set.Control, Neighbours: e.neighbours, OnRemoteEntries: e.abroad.Update, Caller: e.mesh,
 		Install: func(_ uint64, cfg *conf.Config) { e.sched.Install(cfg) }, Log: log.WithName("follow"),
 	}
 	e.grant = &grant.Grant{
