--- a/io/watch/find.go
+++ b/io/watch/find.go
@@ -33,7 +33,7 @@
 // the replica itself if it is cut off with this data centre, and is otherwise invalid.
 type statusReply struct {
 	target
-	otherDataCentre bool // The replica is in another data centre.
+	otherDataCentre bool // The replica is in another data centre and knows no leader.
 }
 
 // hintedLeader returns the leader's address from the fault of a replica that does not lead, or
