--- a/core/batch/backlog_test.go
+++ b/core/batch/backlog_test.go
@@ -33,7 +33,7 @@
 		for _, d := range e.Submit(e.now, e.ticket("usual", 0, prompt, 96)) {
 			on = append(on, run{d, e.now.Add(total)})
 		}
-		worst = max(worst, e.engine(e.table.Named("a")).pace.wait(e.now))
+		worst = max(worst, e.engine(e.table.GetOrAdd("a")).pace.wait(e.now))
 	}
 	t.Logf("at most %v were believed to be unread", worst)
 	must.Greater(t, 0, worst)
--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -14,7 +14,7 @@
 	"azurelane/core/refuse"
 	"azurelane/core/slot"
 	"azurelane/core/slots"
-	"azurelane/core/table"
+	"azurelane/core/leases"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
 )
@@ -50,7 +50,7 @@
 type Batch struct {
 	name    string
 	pool    pool.Pool
-	table   table.Table
+	table   leases.Table
 	slots   slots.Slots
 	waiting []*item
 	items   map[ticketKey]*item // Those that wait.
@@ -87,11 +87,11 @@
 
 // Announce takes an upstream's lease and grants what now fits.
 func (b *Batch) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
-	if u := b.table.Named(a.GetUpstream()); u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
+	if u := b.table.GetOrAdd(a.GetUpstream()); u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
 		b.slots.Vacate(now, u) // What the former process ran ended with it.
 		b.engine(u).pace = b.unknown()
 	}
-	b.table.Put(now, a)
+	b.table.Update(now, a)
 	return b.assign(now)
 }
 
@@ -156,7 +156,7 @@
 			list = append(list, s)
 		}
 	}
-	b.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), b.table.Named)
+	b.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), b.table.GetOrAdd)
 }
 
 // Forget drops a dead entry's tickets and slots.
--- a/core/batch/shape_test.go
+++ b/core/batch/shape_test.go
@@ -47,7 +47,7 @@
 					}
 				}
 				for up, speed := range speeds {
-					p := e.engine(e.table.Named(up)).pace
+					p := e.engine(e.table.GetOrAdd(up)).pace
 					if ran[up] < 12 {
 						continue // Nothing was seen of it under this ratio.
 					}
--- a/core/late/late.go
+++ b/core/late/late.go
@@ -16,7 +16,7 @@
 	"azurelane/core/queue"
 	"azurelane/core/refuse"
 	"azurelane/core/slots"
-	"azurelane/core/table"
+	"azurelane/core/leases"
 	"azurelane/core/tier"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
@@ -31,7 +31,7 @@
 type Late struct {
 	name  string
 	pool  pool.Pool
-	table table.Table
+	table leases.Table
 	slots slots.Slots
 	queue queue.Queue
 	place place.Place
@@ -98,7 +98,7 @@
 // Announce takes an upstream's lease and grants what now fits.
 func (l *Late) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
 	l.owns(now)
-	l.table.Put(now, a)
+	l.table.Update(now, a)
 	l.stale = true
 	return l.assign(now)
 }
@@ -154,7 +154,7 @@
 			list = append(list, s)
 		}
 	}
-	l.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), l.table.Named)
+	l.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), l.table.GetOrAdd)
 	l.stale = true
 }
 
--- a/core/local/local.go
+++ b/core/local/local.go
@@ -10,7 +10,7 @@
 	"azurelane/core/refuse"
 	"azurelane/core/slot"
 	"azurelane/core/slots"
-	"azurelane/core/table"
+	"azurelane/core/leases"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
 )
@@ -18,7 +18,7 @@
 // Local is the part of a local policy that all of them share. A policy embeds
 // it and adds Submit.
 type Local struct {
-	table table.Table
+	table leases.Table
 	slots slots.Slots
 	pool  pool.Pool
 }
@@ -36,7 +36,7 @@
 
 // Announce takes an upstream's lease and load report.
 func (l *Local) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
-	l.table.Put(now, a)
+	l.table.Update(now, a)
 	return nil
 }
 
--- a/core/order/order.go
+++ b/core/permit/order.go
@@ -1,6 +1,6 @@
 // Package order decides when an order may go to an upstream: one at a time for
 // each, numbered by a fence, and few at once that read from the weight store.
-package order
+package permit
 
 import (
 	"maps"
@@ -19,21 +19,21 @@
 	Gone    = "gone"    // End names an order that is not the upstream's newest.
 )
 
-// Margin is added to an order's limit before an upstream that ignores the
+// ExpiryMargin is added to an order's limit before an upstream that ignores the
 // fence is given another. It covers a request under way in the network and the
 // clocks of two leaders that differ.
-const Margin = 10 * time.Second
+const ExpiryMargin = 10 * time.Second
 
-// Order holds the newest order of each upstream. The zero value is empty and
+// Orders holds the newest order of each upstream. The zero value is empty and
 // ready. It reads no clock: the leader puts its time into each command.
-type Order struct {
+type Orders struct {
 	newest map[string]*wire.OrderState
 }
 
 // Start decides on an order. The same id again gets the fence of the first
 // time as long as no newer order took its place, so an operator who lost the
 // answer may ask again.
-func (o *Order) Start(id string, s *wire.OrderStart) *wire.Result {
+func (o *Orders) Start(id string, s *wire.OrderStart) *wire.Result {
 	old := o.newest[s.GetUpstream()]
 	if old.GetId() == id {
 		if old.GetOutcome() != "" {
@@ -57,7 +57,7 @@
 
 // End records that the newest order of an upstream is over. An end that comes
 // after a newer order started changes nothing.
-func (o *Order) End(e *wire.OrderEnd) *wire.Result {
+func (o *Orders) End(e *wire.OrderEnd) *wire.Result {
 	st := o.newest[e.GetUpstream()]
 	if st == nil || st.GetFence() != e.GetFence() {
 		return &wire.Result{Code: Gone}
@@ -69,7 +69,7 @@
 }
 
 // Save lists the newest orders, sorted by upstream.
-func (o *Order) Save() []*wire.OrderState {
+func (o *Orders) Save() []*wire.OrderState {
 	var list []*wire.OrderState
 	for _, u := range slices.Sorted(maps.Keys(o.newest)) {
 		list = append(list, o.newest[u])
@@ -78,15 +78,15 @@
 }
 
 // Load replaces the state by a saved list.
-func (o *Order) Load(list []*wire.OrderState) {
+func (o *Orders) Load(list []*wire.OrderState) {
 	o.newest = map[string]*wire.OrderState{}
 	for _, st := range list {
 		o.newest[st.GetStart().GetUpstream()] = st
 	}
 }
 
-// Open lists the orders that may still run, sorted by upstream.
-func (o *Order) Open() []*wire.OrderState {
+// Unfinished lists the orders that may still run, sorted by upstream.
+func (o *Orders) Unfinished() []*wire.OrderState {
 	return slices.DeleteFunc(o.Save(), func(st *wire.OrderState) bool { return st.GetOutcome() != "" })
 }
 
@@ -108,7 +108,7 @@
 }
 
 // reading counts the orders that may be reading from the weight store.
-func (o *Order) reading(s *wire.OrderStart) int64 {
+func (o *Orders) reading(s *wire.OrderStart) int64 {
 	var n int64
 	for u, st := range o.newest {
 		if u != s.GetUpstream() && st.GetOutcome() == "" && st.GetStart().GetWeights() && s.GetNowUs() < ends(st) {
@@ -121,5 +121,5 @@
 // ends is the time, in the leader's microseconds, after which an order surely
 // no longer runs.
 func ends(st *wire.OrderState) int64 {
-	return st.GetStart().GetNowUs() + st.GetStart().GetLimitUs() + Margin.Microseconds()
+	return st.GetStart().GetNowUs() + st.GetStart().GetLimitUs() + ExpiryMargin.Microseconds()
 }
--- a/core/order/order_test.go
+++ b/core/permit/order_test.go
@@ -1,4 +1,4 @@
-package order_test
+package permit_test
 
 import (
 	"flag"
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 	"pgregory.net/rapid"
 
-	"azurelane/core/order"
+	"azurelane/core/permit"
 	"azurelane/core/wire"
 )
 
@@ -31,50 +31,50 @@
 // second is told to wait until the first order's time is surely up; the same
 // order sent again gets the same number.
 func TestIgnoringUpstreamRunsOneOrderAtATime(t *testing.T) {
-	var o order.Order
-	must.Eq(t, order.OK, o.Start("a", start(0, false)).GetCode())
+	var o permit.Orders
+	must.Eq(t, permit.OK, o.Start("a", start(0, false)).GetCode())
 	b := o.Start("b", start(time.Second, false))
-	must.Eq(t, order.Busy, b.GetCode())
+	must.Eq(t, permit.Busy, b.GetCode())
 	must.Eq(t, "a", b.GetWinner())
 	again := o.Start("a", start(2*time.Second, false))
-	must.Eq(t, order.OK, again.GetCode())
+	must.Eq(t, permit.OK, again.GetCode())
 	must.Eq(t, uint64(1), again.GetVersion())
-	must.Eq(t, order.Busy, o.Start("b", start(time.Minute, false)).GetCode())
-	late := o.Start("b", start(time.Minute+order.Margin, false))
-	must.Eq(t, order.OK, late.GetCode())
+	must.Eq(t, permit.Busy, o.Start("b", start(time.Minute, false)).GetCode())
+	late := o.Start("b", start(time.Minute+permit.ExpiryMargin, false))
+	must.Eq(t, permit.OK, late.GetCode())
 	must.Eq(t, uint64(2), late.GetVersion())
-	must.Eq(t, order.Gone, o.End(&wire.OrderEnd{Upstream: "e1", Fence: 1, Outcome: "done"}).GetCode())
+	must.Eq(t, permit.Gone, o.End(&wire.OrderEnd{Upstream: "e1", Fence: 1, Outcome: "done"}).GetCode())
 }
 
 // An engine that checks fences refuses the older of two orders by itself, so
 // the second operator need not wait, and gets a higher number.
 func TestCheckingUpstreamTakesTheNewerOrder(t *testing.T) {
-	var o order.Order
+	var o permit.Orders
 	must.Eq(t, uint64(1), o.Start("a", start(0, true)).GetVersion())
 	r := o.Start("b", start(time.Second, true))
-	must.Eq(t, order.OK, r.GetCode())
+	must.Eq(t, permit.OK, r.GetCode())
 	must.Eq(t, uint64(2), r.GetVersion())
 }
 
 func TestWeightStoreLimit(t *testing.T) {
-	var o order.Order
+	var o permit.Orders
 	begin := func(id string) string {
 		s := start(0, true)
 		s.Upstream, s.Weights, s.WeightLimit = "e"+id, true, 2
 		return o.Start(id, s).GetCode()
 	}
-	must.Eq(t, order.OK, begin("0"))
-	must.Eq(t, order.OK, begin("1"))
-	must.Eq(t, order.Limited, begin("2"))
-	must.Eq(t, order.OK, o.End(&wire.OrderEnd{Upstream: "e0", Fence: 1, Outcome: "done"}).GetCode())
-	must.Eq(t, order.OK, begin("2"))
+	must.Eq(t, permit.OK, begin("0"))
+	must.Eq(t, permit.OK, begin("1"))
+	must.Eq(t, permit.Limited, begin("2"))
+	must.Eq(t, permit.OK, o.End(&wire.OrderEnd{Upstream: "e0", Fence: 1, Outcome: "done"}).GetCode())
+	must.Eq(t, permit.OK, begin("2"))
 }
 
 // Any mix of starts, lost answers, ends and restarts: fences of an upstream
 // only grow, and at one that ignores them no two orders' times overlap.
 func TestOrdersProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var o order.Order
+		var o permit.Orders
 		now := time.Duration(0)
 		last := map[string]uint64{}
 		until := map[string]time.Duration{}
@@ -88,7 +88,7 @@
 				s := start(now, false)
 				s.Upstream = up
 				r := o.Start(id, s)
-				if r.GetCode() != order.OK {
+				if r.GetCode() != permit.OK {
 					continue
 				}
 				if holder[up] == id {
@@ -100,12 +100,12 @@
 				last[up], holder[up], until[up] = r.GetVersion(), id, now+time.Minute
 			case 2:
 				fence := last[up] - uint64(rapid.IntRange(0, 1).Draw(t, "old"))
-				if o.End(&wire.OrderEnd{Upstream: up, Fence: fence, Outcome: "done"}).GetCode() == order.OK {
+				if o.End(&wire.OrderEnd{Upstream: up, Fence: fence, Outcome: "done"}).GetCode() == permit.OK {
 					must.Eq(t, last[up], fence)
 					until[up] = 0
 				}
 			case 3:
-				var again order.Order
+				var again permit.Orders
 				again.Load(o.Save())
 				o = again
 			}
--- a/io/order/order.go
+++ b/io/order/order.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 
 	"azurelane/core/codec"
-	core "azurelane/core/order"
+	core "azurelane/core/permit"
 	"azurelane/core/wire"
 )
 
--- a/io/order/order_test.go
+++ b/io/order/order_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/shoenig/test/must"
 
-	core "azurelane/core/order"
+	core "azurelane/core/permit"
 	"azurelane/core/wire"
 	"azurelane/io/order"
 	"azurelane/io/orderd"
@@ -21,7 +21,7 @@
 type fakeLog struct {
 	mu  sync.Mutex
 	now time.Duration
-	o   core.Order
+	o   core.Orders
 }
 
 func (l *fakeLog) Propose(_ context.Context, c *wire.Command) (*wire.Result, error) {
@@ -88,7 +88,7 @@
 	h.Sleep = func(context.Context, time.Duration) error { return nil }
 	_, err = run(t.Context(), "b", log, addr, false)
 	must.ErrorIs(t, err, order.ErrWait)
-	log.now = time.Minute + core.Margin
+	log.now = time.Minute + core.ExpiryMargin
 	fence, err := run(t.Context(), "b", log, addr, false)
 	must.NoError(t, err)
 	must.Eq(t, uint64(2), fence)
