--- a/core/batch/backlog.go
+++ b/core/batch/backlog.go
@@ -32,13 +32,13 @@
 // prefillDone records the first token of an answer. By then the engine had prefilled its prompt
 // and all prompts sent before it. Without this correction the errors of the estimates would add
 // up for as long as requests keep coming.
-func (b *backlog) prefillDone(sentAt, firstToken time.Time) {
+func (b *backlog) prefillDone(sentAt, firstTokenAt time.Time) {
 	if len(b.pending) == 0 || sentAt.Before(b.pending[0].sentAt) {
 		return // A later prompt was reported before.
 	}
-	b.pending = slices.DeleteFunc(b.pending, func(u pendingPrefill) bool { return !u.sentAt.After(sentAt) })
-	b.idleAt = firstToken
-	b.extend(firstToken, b.pending)
+	b.pending = slices.DeleteFunc(b.pending, func(p pendingPrefill) bool { return !p.sentAt.After(sentAt) })
+	b.idleAt = firstTokenAt
+	b.extend(firstTokenAt, b.pending)
 }
 
 // extend advances idleAt by the prefill times of the given prompts. Each prefill starts when the
@@ -47,10 +47,10 @@
 	if b.idleAt.Before(now) {
 		b.idleAt = now
 	}
-	for _, u := range prompts {
-		if b.idleAt.Before(u.sentAt) {
-			b.idleAt = u.sentAt
+	for _, p := range prompts {
+		if b.idleAt.Before(p.sentAt) {
+			b.idleAt = p.sentAt
 		}
-		b.idleAt = b.idleAt.Add(u.duration)
+		b.idleAt = b.idleAt.Add(p.duration)
 	}
 }
--- a/core/batch/backlog_test.go
+++ b/core/batch/backlog_test.go
@@ -41,29 +41,30 @@
 	must.LessEq(t, 3*150*time.Millisecond, worst)
 }
 
-// Prompts sent after the one whose prefill is known to be done are prefilled from its first token
-// on, or from their own grant if that is later.
+// Three prompts are sent, with an estimated prefill time of 100 ms each, and the first token of
+// one is reported. The prefills of later prompts start at that time, or at their own grant if that
+// is later.
 func TestBacklog(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for _, tc := range []struct {
-		name   string
-		given  int // Time in ms at which the run was granted whose first token came.
-		first  int // Time of that first token in ms.
-		now    int
-		expect int // Remaining wait in ms.
+		name    string
+		granted int // Time in ms at which the run with the reported first token was granted.
+		first   int // Time of that first token in ms.
+		now     int
+		expect  int // Remaining wait in ms.
 	}{
-		{"as believed", 0, 100, 100, 200},
-		{"sooner", 0, 20, 100, 120},
-		{"later", 0, 180, 180, 200},
+		{"as believed", 0, 100, 100, 200}, // The first token comes at the estimated time.
+		{"sooner", 0, 20, 100, 120},       // Before the estimated time.
+		{"later", 0, 180, 180, 200},       // After the estimated time.
 		{"the last one", 20, 50, 60, 0},
-		{"a run that is not known", -10, 5, 20, 280},
+		{"a run that is not known", -10, 5, 20, 280}, // Its grant is earlier than all others; the report is ignored.
 	} {
-		var l backlog
+		var b backlog
 		for _, ms := range []int{0, 10, 20} {
-			l.add(at(ms), 100*time.Millisecond)
+			b.add(at(ms), 100*time.Millisecond)
 		}
-		l.prefillDone(at(tc.given), at(tc.first))
-		must.Eq(t, time.Duration(tc.expect)*time.Millisecond, l.wait(at(tc.now)), must.Sprint(tc.name))
+		b.prefillDone(at(tc.granted), at(tc.first))
+		must.Eq(t, time.Duration(tc.expect)*time.Millisecond, b.wait(at(tc.now)), must.Sprint(tc.name))
 	}
 }
--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -6,6 +6,12 @@
 // An engine prefills (reads) the prompt of a request before it decodes (generates) the answer. A
 // decode step is the time in which an engine generates one answer token. Prefill times are
 // expressed in decode steps, so that runs on engines of different speeds can be compared.
+//
+// A streamed answer arrives as events. Each event carries the number of tokens that the pool's
+// setting EventTokens names. A release reports the number of events as its pieces.
+//
+// An entry is a process that accepts callers' requests and submits a ticket for each of them. An
+// incarnation identifies one run of a process, from its start to its end.
 package batch
 
 import (
@@ -31,22 +37,27 @@
 const (
 	// engineQueueLimit is the number of requests that an engine may hold beyond its batch. A
 	// request that is already there when a slot becomes free saves the round trip to the
-	// scheduler; more than one would only queue there behind each other. Only requests of the top
-	// priority may use it; see topPriority.
+	// scheduler; any more would only wait behind it. Only requests of the top priority may wait
+	// there; see topPriority.
 	engineQueueLimit = 1
 	// maxCacheUse is the share of an engine's KV cache that may be promised to requests.
-	maxCacheUse   = 0.95
-	startGrace    = 1500 * time.Millisecond // How long a new owner waits for announcements before it refuses requests.
-	forgetAfter   = time.Minute             // From the end of an upstream's lease.
-	sweepInterval = 200 * time.Millisecond  // Interval between checks of all slots and upstreams.
+	maxCacheUse = 0.95
+	// startGrace is the time for which a scheduler that has just taken over a pool waits for the
+	// announcements of its upstreams before it refuses requests. The policy does not use it.
+	startGrace    = 1500 * time.Millisecond
+	forgetAfter   = time.Minute            // From the end of an upstream's lease.
+	sweepInterval = 200 * time.Millisecond // Interval between checks of all slots and upstreams.
 	// probeInterval is the time between two grants to engines that seem cut off. It is short
-	// enough to notice soon that they are back, and long enough that few requests wait there in
-	// vain.
+	// enough to notice soon that the engines are back, and long enough that few requests wait
+	// there in vain.
 	probeInterval = 400 * time.Millisecond
-	runGrace      = 10 * time.Second // Time beyond the pool's longest run after which a slot is swept.
-	// minRetryAfter and maxRetryAfter bound the retry time in a refusal. Shortages last for
-	// seconds: callers that retry within a second meet the same shortage and are refused again,
-	// and after more than three seconds most of them have no time left.
+	// runGrace is the time beyond the pool's longest run after which a slot is freed even if no
+	// release has arrived.
+	runGrace = 10 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry time in a refusal before retryAfter spreads
+	// it by up to half as much again. Shortages last for seconds: callers that retry within a
+	// second meet the same shortage and are refused again. After more than three seconds most
+	// callers have no time left.
 	minRetryAfter = 2200 * time.Millisecond
 	maxRetryAfter = 3 * time.Second
 )
@@ -63,7 +74,7 @@
 	engines      map[string]*engine // By upstream name.
 	engineList   []*engine          // In table order.
 	offers       []offer            // Engines with room, for the decision in progress.
-	maxGap       time.Duration      // Longest gap between two events that all routes accept; zero for no limit.
+	gapLimit     time.Duration      // Shortest of the routes' gapLimits; zero for no limit.
 	meanEngine   engineStats        // Stands for any engine while none is chosen.
 	started      time.Time
 	sweptAt      time.Time
@@ -74,7 +85,7 @@
 	shed         shedder
 }
 
-// ticketKey identifies a ticket.
+// ticketKey identifies a ticket: its ID is unique within the incarnation of its entry.
 type ticketKey struct {
 	incarnation string
 	id          uint64
@@ -138,7 +149,10 @@
 	}
 	switch {
 	case r.GetBusy():
-		stats.addPrompt(now, b.pool.Slots*int64(b.costs.usualAnswer())) // Requests from elsewhere fill its queue, too.
+		// The engine's queue is full of requests that this scheduler did not send. They are
+		// recorded as a prompt with as many tokens as all slots' usual answers, so that the
+		// engine counts as busy for a while.
+		stats.addPrompt(now, b.pool.Slots*int64(b.costs.usualAnswer()))
 	case r.GetFailed():
 		stats.addFailure(now, r.GetFirstTokenUs() > 0, s.Up.GetSeq())
 	case r.GetDispatched():
@@ -164,7 +178,7 @@
 	b.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), b.table.Named)
 }
 
-// Forget drops the tickets and slots of a dead entry.
+// Forget drops the tickets and slots of a dead entry, identified by its incarnation.
 func (b *Batch) Forget(now time.Time, incarnation string) []*wire.Decision {
 	b.slots.Forget(incarnation)
 	b.removeIf(func(i *item) bool { return i.GetIncarnation() == incarnation })
@@ -180,7 +194,7 @@
 		b.table.Expire(now, forgetAfter)
 		b.dropStaleEngines()
 		b.updateMeanEngine()
-		b.updateMaxGap()
+		b.updateGapLimit()
 		b.slots.Sweep(now, b.pool.MaxRun+runGrace, func(*slot.Slot) {})
 	}
 	return append(b.assign(now), b.refuseExpired(now)...)
@@ -220,7 +234,7 @@
 			return out
 		}
 		i := b.waiting[n]
-		i.routeStats.addOutcome(now.Sub(b.started), i.class, true, !i.isRetry && now.Sub(b.started)+e.stats.timeToFirstToken(now, e.Upstream, i.prompt) <= i.objective)
+		i.routeStats.addOutcome(now.Sub(b.started), i.class, true, !i.arrivedLate && now.Sub(b.started)+e.stats.timeToFirstToken(now, e.Upstream, i.prompt) <= i.objective)
 		b.waiting = slices.Delete(b.waiting, n, n+1)
 		delete(b.waitingByKey, ticketKey{i.GetIncarnation(), i.GetId()})
 		s := &slot.Slot{Up: e.Upstream, Ticket: i.Ticket, Kept: cachedTokens(e.Upstream, i)}
--- a/core/batch/batch_test.go
+++ b/core/batch/batch_test.go
@@ -169,6 +169,7 @@
 	must.SliceEmpty(t, e.fill(1))
 	must.Len(t, 1, e.Submit(e.now, e.ticket("urgent", 0, 100, 100)))
 	must.SliceEmpty(t, e.Submit(e.now, e.ticket("urgent", 0, 100, 100)))
+	// One waiting request takes the place of the run that ended; the other keeps waiting.
 	must.SliceEmpty(t, e.release(first[0], 60*time.Millisecond, 300*time.Millisecond, 11)[1:])
 	for range int(topPriorityTTL/time.Second) + 1 {
 		e.now = e.now.Add(time.Second)
@@ -177,8 +178,8 @@
 	must.Eq(t, 1, e.topPriority.priority, must.Sprint("no requests of a more urgent priority"))
 }
 
-// An engine breaks off a run. It gets no requests for a while, then one trial after another; a
-// run that ends well brings it back.
+// An engine breaks off a run before its first token. It gets no requests for minExclusion, and
+// gets requests again after that.
 func TestFailedEngineIsExcluded(t *testing.T) {
 	e := newHarness(4, "a", "b")
 	d := e.fill(1)[0]
@@ -287,8 +288,8 @@
 }
 
 // BenchmarkAssign measures one grant and one release with many tickets waiting for 90 engines,
-// about the load of a burst on the larger deployments. Target: well below 0.4 ms, the share of
-// each of a thousand requests per second in half of a core.
+// about the load of a burst on the larger deployments. Target: well below 0.4 ms per request, so
+// that a thousand requests per second take less than half of a core.
 func BenchmarkAssign(b *testing.B) {
 	for _, waiting := range []int{30, 300, 3000} {
 		b.Run(fmt.Sprint("waiting-", waiting), func(b *testing.B) {
--- a/core/batch/bestcase.go
+++ b/core/batch/bestcase.go
@@ -18,8 +18,8 @@
 	c.overhead, c.perToken = min(c.overhead, s.overhead()), min(c.perToken, s.perToken())
 }
 
-// firstToken returns the time to the first token of a prompt whose prefill takes the given number
-// of decode steps.
-func (c *bestCase) firstToken(prefillSteps float64) time.Duration {
+// timeToFirstToken returns the time to the first token of a prompt whose prefill takes the given
+// number of decode steps.
+func (c *bestCase) timeToFirstToken(prefillSteps float64) time.Duration {
 	return c.overhead + time.Duration(prefillSteps*float64(c.perToken))
 }
--- a/core/batch/boost.go
+++ b/core/batch/boost.go
@@ -24,10 +24,10 @@
 }
 
 // boostOver returns the factor by which a route counts more if it is served less often than
-// another. It is the square of the ratio of the shares served, so that a small difference changes
-// little.
+// another. It is the square of the ratio of the shares served, between 1 and maxWeight: a small
+// difference changes little, and a ratio of two already gives the largest factor.
 func (m *missShare) boostOver(other *missShare) float64 {
-	const offset = 0.05
+	const offset = 0.05 // Keeps the ratio finite if no request of the route gets a slot in time.
 	f := (1 - other.value + offset) / (1 - m.value + offset)
 	return min(max(f*f, 1), maxWeight)
 }
--- a/core/batch/costmodel.go
+++ b/core/batch/costmodel.go
@@ -21,14 +21,17 @@
 	minRuns     = 16
 	answerAlpha = 0.02  // EWMA weight of one run in meanAnswer.
 	kilotoken   = 1000. // Prompt lengths are fitted in thousands of tokens.
-	// costTimeConstant is the time constant with which runs lose weight, and minKeep the least
-	// share of their weight that they keep at the next run, so that at least about forty count.
-	// Runs on many engines scatter with what else runs there: when about fifty counted, the
+	// costTimeConstant is the time constant with which the weight of a run decays. At more than
+	// ten runs per second, more than fifty runs count. The time to the first token varies with
+	// the other runs on an engine: when only about fifty runs counted on many engines, the
 	// estimated time of a long prompt changed by half from second to second.
 	costTimeConstant = 5 * time.Second
-	minKeep          = 0.975
-	// longGapQuantile is the share of runs whose longest gap is shorter than longGap, and
-	// longGapStep the speed at which longGap follows.
+	// minKeep is the least share of its weight that a run keeps when the next run is added. At
+	// least about forty runs thus count, however long the time between them.
+	minKeep = 0.975
+	// longGapQuantile is the share of runs whose longest gap is at most longGapEvents. For each
+	// run longGapEvents grows by the share longGapStep*longGapQuantile of its value or shrinks by
+	// the share longGapStep*(1-longGapQuantile), which balances at this quantile.
 	longGapQuantile = 0.98
 	longGapStep     = 0.05
 )
@@ -45,9 +48,10 @@
 	// prefillSquare is the same per thousand tokens squared, because attention compares each
 	// token with all tokens before it.
 	prefillLinear, prefillSquare float64
-	// longGap is the longest gap between two events of a run while prompts are prefilled beside
-	// it, which few runs exceed. Its unit is the decode time of one event.
-	longGap float64
+	// longGapEvents estimates a high quantile, longGapQuantile, of the longest gap between two
+	// events of a run. Gaps are long while the engine prefills other prompts. The unit is the
+	// decode time of one event.
+	longGapEvents float64
 }
 
 // addRun learns from a run: tokens is the length of its answer, and steps the time to its first
@@ -76,12 +80,12 @@
 // addGap learns from the longest gap between two events of a run, in decode times of one event.
 func (m *costModel) addGap(pause float64) {
 	switch {
-	case m.longGap == 0:
-		m.longGap = pause
-	case pause > m.longGap:
-		m.longGap *= 1 + longGapStep*longGapQuantile
+	case m.longGapEvents == 0:
+		m.longGapEvents = pause
+	case pause > m.longGapEvents:
+		m.longGapEvents *= 1 + longGapStep*longGapQuantile
 	default:
-		m.longGap *= 1 - longGapStep*(1-longGapQuantile)
+		m.longGapEvents *= 1 - longGapStep*(1-longGapQuantile)
 	}
 }
 
--- a/core/batch/costmodel_test.go
+++ b/core/batch/costmodel_test.go
@@ -72,7 +72,8 @@
 	must.Between(t, 2700, s.usualAnswer(), 3000)
 }
 
-// The caller's estimate for a run that did not stream must not enter the cost model.
+// An engine's first run does not stream: it reports a single piece, and its first token at its
+// end. Such a run says nothing about the time per token and must not enter the cost model.
 func TestRunsThatDoNotStream(t *testing.T) {
 	e := newHarness(4, "a")
 	d := e.fill(1)[0]
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -20,7 +20,7 @@
 	offer struct {
 		*engine
 		batchFull      bool          // All slots of its batch are taken.
-		firstToken     time.Duration // Time to the first token of an empty prompt.
+		baseFirstToken time.Duration // Time to the first token of an empty prompt.
 		prefillWait    time.Duration // Time until all prompts sent to it are prefilled.
 		perToken       time.Duration
 		failurePenalty time.Duration // Cost of its recent failures.
@@ -65,8 +65,8 @@
 	return b.engineList
 }
 
-// dropStaleEngines drops the statistics of upstreams that are no longer in the table. They would
-// pile up, because each incarnation has a name of its own.
+// dropStaleEngines drops the statistics of upstreams that are no longer in the table. Otherwise
+// the map would grow without bound, because engines that restart may come back under new names.
 func (b *Batch) dropStaleEngines() {
 	if len(b.engines) <= 2*len(b.table.All()) {
 		return
@@ -92,13 +92,12 @@
 	}
 }
 
-// updateMaxGap sets maxGap to the shortest of the gaps that the recent requests of the routes
-// accept.
-func (b *Batch) updateMaxGap() {
-	b.maxGap = 0
+// updateGapLimit sets gapLimit to the shortest gapLimit of the routes.
+func (b *Batch) updateGapLimit() {
+	b.gapLimit = 0
 	for _, r := range b.routes {
-		if r.maxGap > 0 && (b.maxGap == 0 || r.maxGap < b.maxGap) {
-			b.maxGap = r.maxGap
+		if r.gapLimit > 0 && (b.gapLimit == 0 || r.gapLimit < b.gapLimit) {
+			b.gapLimit = r.gapLimit
 		}
 	}
 }
@@ -116,7 +115,7 @@
 		if e.Running >= e.Limit()+engineQueueLimit || !b.fitsCache(e.Upstream, 0) {
 			continue
 		}
-		o := offer{engine: e, batchFull: e.Running >= e.Limit(), firstToken: stats.timeToFirstToken(now, e.Upstream, 0), perToken: stats.perToken()}
+		o := offer{engine: e, batchFull: e.Running >= e.Limit(), baseFirstToken: stats.timeToFirstToken(now, e.Upstream, 0), perToken: stats.perToken()}
 		o.prefillWait = stats.wait(now)
 		o.failurePenalty = time.Duration((1 - stats.successShare) * float64(time.Second))
 		b.offers = append(b.offers, o)
--- a/core/batch/enginestats.go
+++ b/core/batch/enginestats.go
@@ -11,13 +11,13 @@
 	// defaultFirstToken is an engine's fixed time before its first token, and defaultTokenTime
 	// its time per answer token, until they are learned. Both are of the magnitude that engines
 	// with one accelerator show.
-	defaultFirstToken = 60 * time.Millisecond
-	defaultTokenTime  = 2500 * time.Microsecond
-	learnRate         = 0.15            // EWMA weight of one usual run.
-	startDivisor      = 16              // defaultTokenTime counts as 1/startDivisor of a usual run.
-	minExclusion      = time.Second     // Exclusion of an upstream after a failure.
-	maxExclusion      = 8 * time.Second // Exclusion after many failures in a row.
-	allowedFailures   = 2               // Failures in a row that do not exclude an upstream that answers.
+	defaultFirstToken    = 60 * time.Millisecond
+	defaultTokenTime     = 2500 * time.Microsecond
+	learnRate            = 0.15            // EWMA weight of one usual run.
+	defaultWeightDivisor = 16              // Before the first run, defaultTokenTime weighs 1/defaultWeightDivisor of a usual run.
+	minExclusion         = time.Second     // Exclusion of an upstream after a failure.
+	maxExclusion         = 8 * time.Second // Exclusion after many failures in a row.
+	allowedFailures      = 2               // An upstream that answers is excluded after more than this many failures in a row.
 )
 
 // engineStats holds what was learned about one upstream.
@@ -98,22 +98,25 @@
 	if s.costs != nil && s.tokenTime > 0 && r.GetPieces() > 1 && r.GetGapUs() > 0 {
 		s.costs.addGap(float64(r.GetGapUs()) * float64(time.Microsecond) / float64(time.Duration(eventTokens)*s.tokenTime))
 	}
-	// Before the cost model is known, this remainder would include a part of the prefill. The
-	// upstream would seem slow to begin, get no further requests, and never be measured better.
+	// The overhead is the part of the time to the first token that is neither wait nor prefill.
+	// It is learned only when the cost model is known. Before that it would include a part of
+	// the prefill: the upstream would seem to have a long overhead and get no further requests,
+	// and the estimate would never be corrected.
 	if overhead := first - wait - s.prefillTime(prompt); overhead > 0 && s.costs.known() {
 		s.learnedOverhead = ewma(s.learnedOverhead, overhead)
 	}
 }
 
-// addDecode learns the time per token from a run's tokens and the time that they took. It sums
-// both, so that a run counts by its length. One pause for the prefill of another prompt makes an
-// answer of three events seem ten times as slow, and most answers are that short. By the mean
+// addDecode updates the time per token from the tokens of a run and the time that they took. The
+// estimate is the sum of the times divided by the sum of the tokens, so that a run counts in
+// proportion to its length. One pause for the prefill of another prompt makes an answer of three
+// events seem ten times as slow, and most answers are that short. When the estimate was the mean
 // over runs, engines that generate a token in 5 to 20 ms were estimated at up to 220 ms, and
 // callers with long answers were refused because no engine seemed able to complete them.
 func (s *engineStats) addDecode(tokens float64, took time.Duration) {
 	usual := s.costs.usualAnswer()
 	if s.tokenSum == 0 {
-		s.tokenSum = usual / startDivisor
+		s.tokenSum = usual / defaultWeightDivisor
 		s.decodeSum = time.Duration(s.tokenSum * float64(s.perToken()))
 	}
 	s.tokenSum += tokens
--- a/core/batch/fairness_test.go
+++ b/core/batch/fairness_test.go
@@ -89,9 +89,10 @@
 // Guards against long answers that are refused because short ones distort the estimated token
 // time. Each run pauses for 0.4 s in all while other prompts are prefilled: a short answer of
 // three events then seems to take 26 ms per token, a long one 3.4 ms. If most runs are short, the
-// engines seem too slow to end a long answer in time. In a replay of a day, engines that took 5
-// to 20 ms per token were estimated at 11 to 67 ms (log line `Speeds of upstreams.`), and 62 of
-// 79 of the longest answers were refused. In this test they end in a seventh of their time.
+// engines seem too slow to end a long answer in time. In a replay of a day, engines that took 5 to
+// 20 ms per token were estimated at 11 to 67 ms (log line `Speeds of upstreams.`), and 62 of 79 of
+// the longest answers were refused. In this test the long answers take a seventh of the time to
+// their deadline.
 func TestShortAnswersDoNotSkewTokenTime(t *testing.T) {
 	const small, large = 20, 1200
 	got := placedShares(routeLoad{"usual", 1, 200, 70 * time.Millisecond, func(n int) int64 {
@@ -122,8 +123,9 @@
 	must.Greater(t, 0.1, other)
 }
 
-// Guards against a bound of the deficit in slots, which compensates only one in ten of the long
-// runs that break off where a hundred engines serve.
+// Guards against a deficit bound that is a fixed number of slots. With a hundred engines, such a
+// bound made up for only one in ten of the long runs that broke off, so the bound grows with the
+// request rate.
 func TestDeficitIsBoundedByLoad(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/core/batch/item.go
+++ b/core/batch/item.go
@@ -13,8 +13,8 @@
 	// goes before a usual run, and low enough that bulk work proceeds where it takes little time.
 	priorityFactor = 2.6
 	// lateValue is the share of an answer's value that remains for its caller if the answer is
-	// late. It is below one third, so that a late request takes no slot from a request that can
-	// still be in time.
+	// late. It is below one third, so that a request that will be late takes no slot from one
+	// that can still be in time. Requests that arrived late count more; see retryValue.
 	lateValue = 0.29
 	// answerTokenWeight is the size of an answer token in prompt tokens. Engines take longer for
 	// an answer token by about this factor, and callers pay for both in this proportion.
@@ -22,11 +22,11 @@
 	// fixedValue is the share of a request's value that does not depend on its size, because
 	// callers need short answers, too.
 	fixedValue = 0.3
-	// A request that arrives too late for its objective waits for 1/retryWaitDivisor of the time
-	// to its deadline.
+	// A request that arrives too late for its objective waits for at most 1/retryWaitDivisor of
+	// the time to its deadline.
 	retryWaitDivisor = 6
-	// retryValue is added to lateValue for a retry. Its caller was told to come back, and does
-	// not come back after a second refusal.
+	// retryValue is added to lateValue for a request that arrives too late for its objective. Its
+	// caller was told to retry, and does not retry after a second refusal.
 	retryValue = 0.3
 	// A request avoids engines where it would stall other answers for the first 1/yieldDivisor of
 	// the time to its objective. After that its own caller's wait counts more.
@@ -44,17 +44,18 @@
 		yieldUntil time.Duration // Until then it avoids engines where it would stall other answers.
 		deadline   time.Duration // The answer is of no use after this time.
 		refuseAt   time.Duration // It is refused if it still waits at this time.
-		// valueRate is the value per second of slot time. Half of it is that of a usual request
-		// of the route. Small requests have a higher value rate; by their own rates alone, large
-		// requests would be the first to be refused under overload.
+		// valueRate is the value per second of slot time. It is the sum of two rates: that of a
+		// usual request of the route and that of this request. Small requests have a higher rate
+		// of their own; by it alone, large requests would be the first to be refused under
+		// overload.
 		valueRate    float64
-		priority     int32
+		priority     int32 // Rank of the route; a smaller number is more urgent.
 		prompt       int64
 		answer       int64   // Expected tokens, corrected from the caller's estimate.
 		prefillSteps float64 // Prefill time in decode steps.
 		routeStats   *routeStats
 		class        sizeClass
-		isRetry      bool // It was refused before, or a run of it broke off.
+		arrivedLate  bool // Its objective had nearly passed on arrival, after a refusal or a run that broke off.
 	}
 )
 
@@ -78,7 +79,7 @@
 		// The request arrives late, after a refusal or a run that broke off. The value that it
 		// still has justifies waiting for a part of its time, but not for all of it: a refusal
 		// after a long wait leaves the caller no time for anything else.
-		i.isRetry = true
+		i.arrivedLate = true
 		i.refuseAt = now + (i.deadline-now)/retryWaitDivisor
 	}
 	i.routeStats, i.class = route, route.addRequest(t)
@@ -92,13 +93,13 @@
 	return i
 }
 
-// score returns the value rate of the ticket if its first token comes at the given time.
-func (i *item) score(firstToken time.Duration) float64 {
+// score returns the value rate of the ticket if its first token comes at firstTokenAt.
+func (i *item) score(firstTokenAt time.Duration) float64 {
 	rate := i.valueRate * i.routeStats.weights[i.class] * i.routeStats.boost
 	switch {
-	case i.isRetry:
+	case i.arrivedLate:
 		return rate * (lateValue + retryValue)
-	case firstToken > i.objective:
+	case firstTokenAt > i.objective:
 		return rate * lateValue
 	}
 	return rate
--- a/core/batch/length_test.go
+++ b/core/batch/length_test.go
@@ -10,7 +10,7 @@
 )
 
 // drawAnswer draws the tokens of an answer and its caller's estimate of them. The logarithm of
-// the estimate has a standard deviation of 0.5.
+// the ratio of the estimate to the tokens has a standard deviation of 0.5.
 func drawAnswer(rnd *rand.Rand) (tokens, estimate int64) {
 	const usual, spread, off = 125, 1.1, 0.5
 	tokens = int64(math.Ceil(usual * math.Exp(spread*rnd.NormFloat64())))
--- a/core/batch/pick.go
+++ b/core/batch/pick.go
@@ -14,8 +14,8 @@
 	decodeDivisor = 4
 	// prefillWeight is the additional weight of the prefill time in the cost of a run, because
 	// all other runs on the engine nearly stop meanwhile. It also sends a session back to the
-	// engine that has cached most of its prompt: 11 of 75 million prompt tokens were prefilled
-	// again with it, and 15 million without it.
+	// engine that has cached most of its prompt: of 75 million prompt tokens, 11 million were
+	// prefilled again with this weight, and 15 million without it.
 	prefillWeight = 3
 	// stallCost, lateCost and overrunCost are the costs of stalling other answers for too long,
 	// of a late first token, and of a run that is cut off at its deadline. They exceed the
@@ -44,7 +44,7 @@
 			return n, o.engine
 		}
 		if o == nil || (cost >= overrunCost && o.batchFull) {
-			continue // It would occupy the next free slot there for nothing.
+			continue // No engine can take it, or it would queue at a full one and then be cut off at its deadline.
 		}
 		if fallback < 0 || cost.Truncate(stallCost) < leastHarm {
 			fallback, fallbackEngine, leastHarm = n, o.engine, cost.Truncate(stallCost)
@@ -60,7 +60,7 @@
 func (b *Batch) candidates(now time.Duration, batchesFull bool) topItems {
 	soonest, fastest := &b.offers[0], &b.offers[0]
 	for n := range b.offers {
-		if b.offers[n].firstToken < soonest.firstToken {
+		if b.offers[n].baseFirstToken < soonest.baseFirstToken {
 			soonest = &b.offers[n]
 		}
 		if b.offers[n].perToken < fastest.perToken {
@@ -72,7 +72,7 @@
 		if batchesFull && !b.topPriority.includes(i) {
 			continue
 		}
-		s := i.score(now + soonest.firstToken + time.Duration(i.prefillSteps*float64(soonest.perToken)))
+		s := i.score(now + soonest.baseFirstToken + time.Duration(i.prefillSteps*float64(soonest.perToken)))
 		if i.overruns(now, fastest, i.prefillSteps) {
 			unfit.add(n, s)
 			continue
@@ -111,24 +111,24 @@
 func (i *item) overruns(now time.Duration, o *offer, prefillSteps float64) bool {
 	run := float64(i.answer) * float64(o.perToken)
 	run *= 1 + answerSlack/i.routeStats.weights[i.class]
-	return now+o.firstToken+time.Duration(prefillSteps*float64(o.perToken)+run) > i.deadline
+	return now+o.baseFirstToken+time.Duration(prefillSteps*float64(o.perToken)+run) > i.deadline
 }
 
 // stallsOthers reports whether the prefill of a prompt, together with the prefill backlog of the
-// engine, delays the next events of the other runs there beyond maxGap. An engine alternates
+// engine, delays the next events of the other runs there beyond gapLimit. An engine alternates
 // between prefill and decode steps, and decoding nearly stops during prefill: on a slow engine a
 // long prompt delayed five other answers, on a fast one none. How much prefill falls between two
 // events depends on this alternation; it is learned from the longest gaps seen.
 func (b *Batch) stallsOthers(prefillWait, prefill, perToken time.Duration) bool {
-	if b.maxGap == 0 {
+	if b.gapLimit == 0 {
 		return false
 	}
 	event := time.Duration(max(b.pool.EventTokens, 1)) * perToken
 	pause := prefillWait + prefill + event
-	if longest := time.Duration(b.costs.longGap * float64(event)); longest > 0 {
+	if longest := time.Duration(b.costs.longGapEvents * float64(event)); longest > 0 {
 		pause = min(pause, longest)
 	}
-	return pause > b.maxGap
+	return pause > b.gapLimit
 }
 
 // bestOffer returns the engine where the run costs least, and the cost; nil if no engine can take
@@ -177,10 +177,10 @@
 		prefillSteps = b.costs.prefillSteps(i.prompt - n)
 	}
 	prefill := time.Duration(prefillSteps * float64(o.perToken))
-	firstToken := o.firstToken + prefill
+	timeToFirst := o.baseFirstToken + prefill
 	decode := time.Duration(i.answer) * o.perToken
-	cost := firstToken + decode/decodeDivisor + prefillWeight*prefill + o.failurePenalty
-	if now+firstToken > i.objective && now+b.bestCase.firstToken(prefillSteps) <= i.objective { // Another engine could be in time.
+	cost := timeToFirst + decode/decodeDivisor + prefillWeight*prefill + o.failurePenalty
+	if now+timeToFirst > i.objective && now+b.bestCase.timeToFirstToken(prefillSteps) <= i.objective { // Another engine could be in time.
 		cost += lateCost
 	}
 	if now < i.yieldUntil && o.Running > 0 && b.stallsOthers(o.prefillWait, prefill, o.perToken) && !b.stallsOthers(0, time.Duration(prefillSteps*float64(b.bestCase.perToken)), b.bestCase.perToken) {
--- a/core/batch/ratelimit_test.go
+++ b/core/batch/ratelimit_test.go
@@ -54,14 +54,17 @@
 	must.Eq(t, []uint64{urgent.GetId()}, grantedIDs(t, e.assign(e.now)))
 }
 
-// Guards against requests that are kept waiting for slots which rate limits leave unused.
+// Guards against requests that are kept waiting for slots which a rate limit leaves unused. The
+// early refusal assumes that grants continue at minGrantShare of the capacity or faster, so the
+// capacity must not count such slots. Of two engines with equal slots, one gets a limit of one
+// request per second.
 func TestCapacityUnderRateLimit(t *testing.T) {
 	e := newHarness(8, "a", "b")
 	waiting := []*item{newItem(0, e.ticket("usual", 1, 100, 100), &routeStats{}, &e.meanEngine)}
 	e.waiting = waiting
-	free := e.capacity()
+	unlimited := e.capacity()
 	e.waiting = nil
 	e.announceLimit("a", 8, 1)
 	e.waiting = waiting
-	must.Between(t, free/2, e.capacity(), free/2+1)
+	must.Between(t, unlimited/2, e.capacity(), unlimited/2+1)
 }
--- a/core/batch/replay_test.go
+++ b/core/batch/replay_test.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// start computes the times of the first token and the end of a granted run. Its tokens take
-// longer for the prefills beside it, by about 0.1 s in each second.
+// start computes the times of the first token and the end of a granted run. Prefills of other
+// prompts on the engine delay its tokens, by about 0.1 s per second.
 func (r *replay) start(q *request, d *wire.Decision) {
 	const (
 		base          = 30 * time.Millisecond
--- a/core/batch/routestats.go
+++ b/core/batch/routestats.go
@@ -12,7 +12,7 @@
 	meanSize   float64       // Mean of ticketSize.
 	meanPrompt float64       // Mean tokens.
 	meanAnswer float64       // Mean of the estimated tokens.
-	maxGap     time.Duration // Longest gap between two events that is on time; zero for no limit.
+	gapLimit   time.Duration // Longest gap between two events of an answer that the last request with a limit accepts; zero for no limit.
 
 	recentSizes [sizeWindow]float64
 	requests    int           // Requests seen, of which the last sizeWindow sizes are kept.
@@ -25,7 +25,7 @@
 	boost        float64
 	arrivals     arrivalRate
 	lastOutcome  time.Duration        // When the last request was granted or refused, since the policy started.
-	deficits     [sizeClasses]float64 // Slots that a size class would have had at the route's rate, less those that it had.
+	deficits     [sizeClasses]float64 // Slots that a class would have got at the route's share of placed requests, less those that it got.
 	weights      [sizeClasses]float64 // Factor of each size class in the score.
 	unplaced     missShare            // Requests that got no slot.
 	answers      lengthEstimator
@@ -55,8 +55,9 @@
 	// engines can run a long answer, so a class of long answers is served long after it fell
 	// behind.
 	deficitTimeConstant = 40 * time.Second
-	// deficitUnitTime is the time span whose requests of a class make up one unit of its deficit.
-	// The bound thus covers the same time on a large deployment as on a small one.
+	// deficitUnitTime sets the unit of a class's deficit: the number of its requests that arrive
+	// in this time, at least one. The bound thus covers the same time on a large deployment as on
+	// a small one.
 	deficitUnitTime = 800 * time.Millisecond
 )
 
@@ -64,7 +65,7 @@
 func (r *routeStats) addRequest(t *wire.Ticket) sizeClass {
 	size := ticketSize(t)
 	if t.GetGapUs() > 0 {
-		r.maxGap = time.Duration(t.GetGapUs()) * time.Microsecond
+		r.gapLimit = time.Duration(t.GetGapUs()) * time.Microsecond
 	}
 	r.recentSizes[r.requests%sizeWindow] = size
 	r.requests++
--- a/core/batch/shed.go
+++ b/core/batch/shed.go
@@ -17,7 +17,7 @@
 	// could have been served would be refused on a mere even chance.
 	shedMargin = 1.5
 	// minGrantShare is the least rate of grants that is assumed, as a share of the capacity,
-	// because engines that pause for a moment go on.
+	// because engines may pause for a moment and then continue.
 	minGrantShare = 0.5
 )
 
--- a/core/batch/toppriority.go
+++ b/core/batch/toppriority.go
@@ -8,18 +8,19 @@
 // topPriorityTTL is how long a priority stays the top priority without a new request.
 const topPriorityTTL = 30 * time.Second
 
-// topPriority is the most urgent priority requested recently. Only its requests may wait at an
-// engine beyond its batch. A less urgent request there would take the next free slot before any
-// more urgent one that arrives meanwhile, and with runs of a second that is a long wait.
+// topPriority is the most urgent priority requested recently; a smaller number is more urgent.
+// Only requests of at least this urgency may wait at an engine beyond its batch. A less urgent
+// request there would take the next free slot before any more urgent one that arrives meanwhile,
+// and with runs of a second that is a long wait.
 type topPriority struct {
 	priority int32
 	seenAt   time.Time
 }
 
-// includes reports whether a ticket has the top priority.
+// includes reports whether a ticket is at least as urgent as the top priority.
 func (p *topPriority) includes(i *item) bool { return i.priority <= p.priority }
 
-// includesAny reports whether any ticket of the list has the top priority.
+// includesAny reports whether any ticket of the list is at least as urgent as the top priority.
 func (p *topPriority) includesAny(list []*item) bool { return slices.ContainsFunc(list, p.includes) }
 
 func (p *topPriority) observe(now time.Time, priority int32) {
--- a/core/curve/curve.go
+++ b/core/curve/curve.go
@@ -9,8 +9,10 @@
 	y, xy, x2y       float64
 }
 
-// minVarianceShare is the least share of the mean square of x, or of its square, that must be
-// variance of its own. Below it, a coefficient cannot be distinguished from the others.
+// minVarianceShare is the least variation of x at which coefficients can be distinguished. For the
+// slope and the offset, it is the ratio of the variance of x to its mean square. For the
+// coefficients of x and x*x, it is the share of the variation of x*x that is not proportional to
+// the variation of x.
 const minVarianceShare = 1e-3
 
 // Add adds an observation and multiplies the weight of the older ones by keep. The observation's
@@ -39,7 +41,7 @@
 	// Centred on the means, so that the offset drops out.
 	xx, xq, qq := f.x2-f.x*f.x/f.n, f.x3-f.x*f.x2/f.n, f.x4-f.x2*f.x2/f.n
 	if xx <= minVarianceShare*f.x2 {
-		return solve(f.x2, 0, 0, f.xy, 0) // All x alike: fit a proportion.
+		return solve(f.x2, 0, 0, f.xy, 0) // All x alike: fit a line through the origin.
 	}
 	linear, square = solve(xx, xq, qq, f.xy-f.x*f.y/f.n, f.x2y-f.x2*f.y/f.n)
 	if f.y-linear*f.x-square*f.x2 < 0 {
--- a/core/curve/curve_test.go
+++ b/core/curve/curve_test.go
@@ -21,7 +21,7 @@
 		{"with the square alone", 20, 0, 0.2, 0.2, 40},
 		{"no offset", 0, 3, 0.05, 0.2, 40},
 		{"all alike", 0, 3, 0, 5, 0},
-		{"nothing of it", 20, 0, 0, 0.2, 40},
+		{"nothing of it", 20, 0, 0, 0.2, 40}, // The times do not depend on the length.
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var f Fit
--- a/core/slope/slope.go
+++ b/core/slope/slope.go
@@ -8,15 +8,15 @@
 }
 
 // decay is the factor by which each new observation reduces the weight of older ones. About fifty
-// observations count, so that a changed speed shows within some dozen runs.
+// observations count, so that the line follows a change within a few dozen observations.
 const decay = 0.98
 
 // minVarianceShare is the share of x's mean square that its variance must exceed to distinguish
 // the slope from the offset.
 const minVarianceShare = 0.01
 
-// Add adds an observation. Its weight falls with x, so that a few long requests do not outweigh
-// many short ones.
+// Add adds an observation. Its weight falls with x, so that a few observations with a large x do
+// not outweigh many with a small x.
 func (f *Fit) Add(x, y float64) {
 	w := 1 / (1 + x)
 	f.n = f.n*decay + w
