--- a/core/batch/backlog_test.go
+++ b/core/batch/backlog_test.go
@@ -33,7 +33,7 @@
 		for _, d := range e.Submit(e.now, e.ticket("usual", 0, prompt, 96)) {
 			active = append(active, activeRun{d, e.now.Add(total)})
 		}
-		worst = max(worst, e.engine(e.table.Named("a")).stats.wait(e.now))
+		worst = max(worst, e.engine(e.table.GetOrAdd("a")).stats.wait(e.now))
 	}
 	t.Logf("longest estimated backlog: %v", worst)
 	must.Greater(t, 0, worst)
--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -24,7 +24,7 @@
 	"azurelane/core/refuse"
 	"azurelane/core/slot"
 	"azurelane/core/slots"
-	"azurelane/core/table"
+	"azurelane/core/leases"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
 )
@@ -66,7 +66,7 @@
 type Batch struct {
 	name         string
 	pool         pool.Pool
-	table        table.Table
+	table        leases.Table
 	slots        slots.Slots
 	waiting      []*item
 	waitingByKey map[ticketKey]*item // The elements of waiting.
@@ -103,11 +103,11 @@
 
 // Announce records an upstream's lease and grants the waiting tickets that now fit.
 func (b *Batch) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
-	if u := b.table.Named(a.GetUpstream()); u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
+	if u := b.table.GetOrAdd(a.GetUpstream()); u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
 		b.slots.Vacate(now, u) // The runs of the previous process ended with it.
 		b.engine(u).stats = b.newEngineStats()
 	}
-	b.table.Put(now, a)
+	b.table.Update(now, a)
 	return b.assign(now)
 }
 
@@ -175,7 +175,7 @@
 			list = append(list, s)
 		}
 	}
-	b.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), b.table.Named)
+	b.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), b.table.GetOrAdd)
 }
 
 // Forget drops the tickets and slots of a dead entry, identified by its incarnation.
--- a/core/batch/costmodel_test.go
+++ b/core/batch/costmodel_test.go
@@ -46,7 +46,7 @@
 					}
 				}
 				for up, speed := range speeds {
-					p := e.engine(e.table.Named(up)).stats
+					p := e.engine(e.table.GetOrAdd(up)).stats
 					if ran[up] < 12 {
 						continue // It ran too few requests at this ratio.
 					}
--- a/core/direct/direct.go
+++ b/core/direct/direct.go
@@ -10,14 +10,14 @@
 	"azurelane/core/refuse"
 	"azurelane/core/slot"
 	"azurelane/core/slots"
-	"azurelane/core/table"
+	"azurelane/core/leases"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
 )
 
 // Base is the common part of these policies. A policy embeds it and adds Submit.
 type Base struct {
-	table table.Table
+	table leases.Table
 	slots slots.Slots
 	pool  pool.Pool
 }
@@ -35,7 +35,7 @@
 
 // Announce records an upstream's lease and load report.
 func (b *Base) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
-	b.table.Put(now, a)
+	b.table.Update(now, a)
 	return nil
 }
 
--- a/core/table/table.go
+++ b/core/leases/table.go
@@ -1,5 +1,5 @@
 // Package table keeps the announced upstreams of one pool.
-package table
+package leases
 
 import (
 	"cmp"
@@ -16,19 +16,19 @@
 	list []*upstr.Upstream // Sorted by name, so that the same input gives the same decisions.
 }
 
-// Put takes an announcement. One that a newer one of the same incarnation has
+// Update takes an announcement. One that a newer one of the same incarnation has
 // overtaken is dropped, so that a delayed "serving" can't undo a "leaving".
-func (t *Table) Put(now time.Time, a *wire.Announce) {
-	u := t.Named(a.GetUpstream())
+func (t *Table) Update(now time.Time, a *wire.Announce) {
+	u := t.GetOrAdd(a.GetUpstream())
 	if u.GetIncarnation() != a.GetIncarnation() || a.GetSeq() >= u.GetSeq() {
 		u.Heard(now, a)
 	}
 }
 
-// Named returns the upstream of that name. One that has not announced itself
+// GetOrAdd returns the upstream of that name. One that has not announced itself
 // yet is entered without a lease, so that slots taken over from a former owner
 // are counted before its first announcement arrives here.
-func (t *Table) Named(name string) *upstr.Upstream {
+func (t *Table) GetOrAdd(name string) *upstr.Upstream {
 	if u := t.ups[name]; u != nil {
 		return u
 	}
--- a/core/pull/pull.go
+++ b/core/pull/pull.go
@@ -16,7 +16,7 @@
 	"azurelane/core/queue"
 	"azurelane/core/refuse"
 	"azurelane/core/slots"
-	"azurelane/core/table"
+	"azurelane/core/leases"
 	"azurelane/core/tier"
 	"azurelane/core/upstr"
 	"azurelane/core/wire"
@@ -31,7 +31,7 @@
 type Policy struct {
 	name       string
 	pool       pool.Pool
-	table      table.Table
+	table      leases.Table
 	slots      slots.Slots
 	queue      queue.Queue
 	picker     place.Picker
@@ -102,7 +102,7 @@
 // available.
 func (p *Policy) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
 	p.noteOwnerCall(now)
-	p.table.Put(now, a)
+	p.table.Update(now, a)
 	p.availableStale = true
 	return p.assign(now)
 }
@@ -160,7 +160,7 @@
 			list = append(list, s)
 		}
 	}
-	p.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), p.table.Named)
+	p.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), p.table.GetOrAdd)
 	p.availableStale = true
 }
 
