--- a/io/hub/hub.go
+++ b/io/hub/hub.go
@@ -37,7 +37,7 @@
 	// called.
 	Hub struct {
 		Replica          replica
-		Leader           proposer
+		LeaderClient           proposer
 		DataCentre       string                                 // Data centre of this replica.
 		Parse            func(doc []byte) (*conf.Config, error) // Parses a published document.
 		Voters           int                                    // Minimum number of voters for accepting a publication.
@@ -356,7 +356,7 @@
 // document is on the disks of a quorum.
 func (h *Hub) Publish(ctx context.Context, version uint64, doc []byte) error {
 	cmd := &wire.Command{Kind: &wire.Command_Publish{Publish: &wire.Publish{Version: version, Document: doc}}}
-	if _, err := h.Leader.Propose(ctx, cmd); err != nil {
+	if _, err := h.LeaderClient.Propose(ctx, cmd); err != nil {
 		return fmt.Errorf("hub: publish: %w", err)
 	}
 	return nil
@@ -365,7 +365,7 @@
 // Newest returns the version and the document in force. The version is never lower than one that
 // was acknowledged before the call.
 func (h *Hub) Newest(ctx context.Context) (uint64, []byte, error) {
-	f, err := h.Leader.Ask(ctx, func() *wire.Frame {
+	f, err := h.LeaderClient.Ask(ctx, func() *wire.Frame {
 		return &wire.Frame{Body: &wire.Frame_ConfigQuery{ConfigQuery: &wire.ConfigQuery{}}}
 	})
 	if err != nil {
--- a/io/hub/hub_test.go
+++ b/io/hub/hub_test.go
@@ -153,7 +153,7 @@
 				Pools:    map[string]pool.Pool{"engines": {ByRoute: true, Slots: 4, Scheduler: "batch"}},
 			}, nil
 		}}
-		h.Leader = directLeader{h}
+		h.LeaderClient = directLeader{h}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- h.Serve(ctx) }()
--- a/io/hubd/hubd.go
+++ b/io/hubd/hubd.go
@@ -98,7 +98,7 @@
 		MaxLosses: settings.Losses, DataCentres: len(settings.Centres), ReplaceAfter: time.Duration(voterAwayShare * float64(settings.CatchUp)), RemoveLearnerAfter: learnerForgetAfter,
 	}
 	h := &hub.Hub{
-		Replica: d.ctrl, Leader: toLeader, DataCentre: settings.Centre, Parse: parse, Voters: group.TargetVoters(),
+		Replica: d.ctrl, LeaderClient: toLeader, DataCentre: settings.Centre, Parse: parse, Voters: group.TargetVoters(),
 		AnnounceInterval: settings.Announce, Overage: settings.Overage, QuotaSlack: settings.QuotaSlack, Stats: metrics, Log: d.log, RefusalLog: logs.Budget{Most: maxRefusalLogLines},
 	}
 	h.RegisterGauges()
