--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -1,5 +1,10 @@
 // Package gate serves callers' requests over HTTP. It matches a request to a route and a client
 // account, obtains an upstream for it and relays the response.
+//
+// An entry is a process that runs a Gate. A deployment has many entries behind a load balancer.
+//
+// Accounts are charged in units. By default a unit is one token of the prompt or the answer; see
+// acct.Account.Units for requests that state no tokens and for accounts charged by request.
 package gate
 
 import (
@@ -36,8 +41,8 @@
 		Trier       trier
 		Dialect     dialect
 		RetryRatio  float64 // Retries allowed, as a fraction of requests.
-		RetrySlack  float64 // Retries allowed beyond RetryRatio, over all entries.
-		QuotaSlack  float64 // Units beyond an account's rate that all entries together may allow.
+		RetrySlack  float64 // Retries allowed beyond RetryRatio in each pool, over all entries.
+		QuotaSlack  float64 // Units that the whole deployment may add to each account's burst.
 		Stats       *stats.Stats
 		Log         logr.Logger
 
@@ -79,8 +84,8 @@
 	dialect interface {
 		// Read parses the header of a caller's request.
 		Read(h http.Header) (meta.Meta, error)
-		// Forward returns the header for an upstream: the caller's header without hop-by-hop
-		// headers, the caller's key and headers that only this system may set.
+		// Forward returns the header for an upstream: the caller's header minus the hop-by-hop
+		// headers, minus the caller's key and minus the headers that only this system may set.
 		Forward(h http.Header) http.Header
 		// Stamp adds the headers that are specific to one upstream.
 		Stamp(h http.Header, hop meta.Hop)
@@ -95,21 +100,22 @@
 		Limit(r *http.Response) (float64, bool)
 		// Genuine reports whether a response proves that an upstream created it.
 		Genuine(r *http.Response) bool
-		// Refuse adds the time after which the caller may retry to the header of a refusal.
+		// Refuse sets, in the header of a refusal, the time after which the caller may retry.
 		Refuse(h http.Header, after time.Duration)
 	}
 )
 
 const (
 	defaultBodyLimit = 4 << 20 // Bytes; applies if the configuration sets no limit.
-	// defaultRetryAfter is the Retry-After of refusals because no configuration is known, no
-	// upstream can be reached or the deadline passed before the request ran.
+	// defaultRetryAfter is the Retry-After of a refusal whose reason is that no configuration is
+	// known, that no upstream can be reached or that the deadline passed before the request ran.
 	defaultRetryAfter = 500 * time.Millisecond
 	// configWait is how long a request waits for the first configuration, and maxConfigWaiters is
 	// how many requests may wait at once. When the whole deployment restarts after a crash or a
-	// power loss, entries are up to half a second ahead of the last replica that a leader needs for
-	// its quorum. A refusal during that time would cost callers one of their attempts, and their
-	// objectives are longer than this wait.
+	// power loss, entries are ready up to half a second before enough control replicas run to elect
+	// a leader. A refusal during that time would cost callers one of their attempts. The objectives
+	// of their routes, which are target times until the complete response or the first event, are
+	// longer than this wait.
 	configWait       = 600 * time.Millisecond
 	maxConfigWaiters = 500
 	// drainRetryAfter is the Retry-After of a draining entry. It is short because other entries
--- a/io/gate/gate_test.go
+++ b/io/gate/gate_test.go
@@ -52,7 +52,7 @@
 	must.Eq(t, http.StatusCreated, r.status)
 	must.Eq(t, "body", r.body)
 	must.Eq(t, "1", r.header.Get("X-Own"))
-	must.Eq(t, "m", r.header.Get(markHeader))
+	must.Eq(t, "m", r.header.Get(genuineHeader))
 	got := u.requests[0]
 	must.Eq(t, "PUT", got.Method)
 	must.Eq(t, "/once/a%2Fb//c?x=%20&y", got.RequestURI)
@@ -77,7 +77,7 @@
 		return false
 	}
 	foreign := func(_ int, _ *http.Request, w io.Writer) bool {
-		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n"+idHeader+": 77\r\n"+markHeader+": m\r\nContent-Length: 2\r\n\r\nno")
+		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n"+idHeader+": 77\r\n"+genuineHeader+": m\r\nContent-Length: 2\r\n\r\nno")
 		return false
 	}
 	unmarked := func(_ int, r *http.Request, w io.Writer) bool {
@@ -113,7 +113,7 @@
 				}
 				if call.want == http.StatusInternalServerError {
 					must.Eq(t, "bad", r.body)
-					must.Eq(t, "m", r.header.Get(markHeader))
+					must.Eq(t, "m", r.header.Get(genuineHeader))
 				}
 			}
 		})
--- a/io/gate/harness_test.go
+++ b/io/gate/harness_test.go
@@ -33,9 +33,9 @@
 )
 
 const (
-	idHeader   = "X-Id"
-	markHeader = "X-Mark"
-	key        = "secret"
+	idHeader      = "X-Id"
+	genuineHeader = "X-Mark"
+	key           = "secret"
 )
 
 // testDialect is the dialect of these tests.
@@ -80,7 +80,7 @@
 	return rate, err == nil
 }
 
-func (testDialect) Genuine(r *http.Response) bool { return r.Header.Get(markHeader) != "" }
+func (testDialect) Genuine(r *http.Response) bool { return r.Header.Get(genuineHeader) != "" }
 
 func (testDialect) Refuse(h http.Header, after time.Duration) {
 	h.Set("Retry-After", after.String())
@@ -181,7 +181,7 @@
 
 // responseHead returns the header of a genuine response to r.
 func responseHead(r *http.Request, status int, more string) string {
-	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: m\r\n%s", status, idHeader, r.Header.Get(idHeader), markHeader, more)
+	return fmt.Sprintf("HTTP/1.1 %d X\r\n%s: %s\r\n%s: m\r\n%s", status, idHeader, r.Header.Get(idHeader), genuineHeader, more)
 }
 
 func respondText(body string) func(int, *http.Request, io.Writer) bool {
--- a/io/gate/limits.go
+++ b/io/gate/limits.go
@@ -21,8 +21,8 @@
 
 	rateLimit struct {
 		rate   float64   // Requests per second.
-		share  float64   // Fraction of the rate that this entry may use.
-		sentAt time.Time // When the request was sent whose response announced the rate.
+		share  float64   // Fraction of the rate for requests placed without a scheduler.
+		sentAt time.Time // Send time of the request whose response announced the rate.
 		// heardAt is when a response to this entry last announced the limit; zero if none did.
 		heardAt    time.Time
 		reportedAt time.Time
--- a/io/gate/limits_test.go
+++ b/io/gate/limits_test.go
@@ -49,8 +49,8 @@
 	must.Positive(t, s.peers.Wait(time.Now(), u[:1]))
 }
 
-// Guards against an entry that gives up or changes its share on the word of a scheduler that does
-// not know all entries yet.
+// Guards against an entry that gives up or changes its share because of a list from a scheduler
+// that does not know all entries yet.
 func TestShareKeptWhileEntriesJoin(t *testing.T) {
 	s := newTestGate(t, newUpstream(t, respondText("ok")))
 	for _, share := range []float64{0.25, 0} {
@@ -85,7 +85,7 @@
 // receiveLimit handles a response that announces a limit, or none if rate is empty.
 func (s *testGate) receiveLimit(sent time.Time, rate string) {
 	r := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
-	r.Header.Set(markHeader, "m")
+	r.Header.Set(genuineHeader, "m")
 	if rate != "" {
 		r.Header.Set("X-Limit", rate)
 	}
--- a/io/gate/place.go
+++ b/io/gate/place.go
@@ -18,8 +18,10 @@
 	// livenessCheckAfter is how long a ticket waits before the entry checks whether the scheduler
 	// is alive. Most tickets are decided within milliseconds.
 	livenessCheckAfter = 60 * time.Millisecond
-	// localOvercommit is the factor by which all entries together may exceed an engine's batch size
-	// while each entry places requests without a scheduler.
+	// localOvercommit is the factor by which all entries together may exceed an upstream's slots
+	// while each entry places requests without a scheduler. Each entry may use this multiple of an
+	// equal share of the slots. With a factor of 1, slots would stay unused whenever the requests
+	// are unevenly spread over the entries.
 	localOvercommit = 1.5
 	// maxLocalWait is the longest time that a request waits for a scheduler or for capacity while
 	// no scheduler answers. A request waits for at most 1/localWaitDivisor of the time left until
@@ -191,7 +193,7 @@
 		Ticket: t.GetId(), Entry: t.GetEntry(), Incarnation: t.GetIncarnation(), Pool: t.GetPool(), Upstream: p.upstream.GetId(),
 		Slot: p.grant.GetSlot(), Owner: p.grant.GetOwner(), Account: t.GetAccount(), Dispatched: res.outcome != outcomeNotSent && res.outcome != outcomeMisdirected && res.outcome != outcomeUnused,
 		Whole: res.outcome == outcomeComplete, Failed: res.outcome == outcomeFailed || res.outcome == outcomeInterrupted || res.outcome == outcomeNotSent || res.outcome == outcomeMisdirected, Busy: res.outcome == outcomeNotRun,
-		FirstTokenUs: res.first.Microseconds(), TotalUs: res.total.Microseconds(), Pieces: res.events,
+		FirstTokenUs: res.firstAfter.Microseconds(), TotalUs: res.total.Microseconds(), Pieces: res.events,
 		GapUs: res.gap.Microseconds(),
 	})
 }
--- a/io/gate/place_test.go
+++ b/io/gate/place_test.go
@@ -109,9 +109,11 @@
 	must.Eq(t, http.StatusTooManyRequests, s.do("POST", "/once/x").status)
 }
 
-// A network partition isolates two of six entries for three seconds, while an account uses all that
-// it may on both sides. The units that the two entries allow, plus a whole burst and the whole rate
-// on the other side, stay within the account's allowance for eight seconds.
+// Guards against an account that exceeds its allowance during a network partition. The partition
+// isolates two of six entries for 3 s, while the account uses all that it may on both sides. Within
+// any 8 s an account may use 8 s of its rate and one burst, which equals one second of the rate
+// here, and 10 % more. On the other side, the scheduler allows all of that, but only a quarter of
+// the 10 %. The units that the two isolated entries allow must fit into the remainder.
 func TestPartitionedEntriesKeepTheRate(t *testing.T) {
 	const rate, entries, isolated, span = 1000.0, 6, 2, 3 * time.Second
 	passed := 0.0
--- a/io/gate/quota.go
+++ b/io/gate/quota.go
@@ -22,8 +22,9 @@
 }
 
 const (
-	// topUpInterval is the minimum time between two top-ups. The windows over which rates are
-	// checked are shorter.
+	// topUpInterval is the minimum time between two top-ups. It is longer than the 8 s over which
+	// tests measure rates (rateWindow in package hub), so that such a window contains at most one
+	// top-up.
 	topUpInterval = 10 * time.Second
 )
 
--- a/io/gate/quota_test.go
+++ b/io/gate/quota_test.go
@@ -17,6 +17,10 @@
 // Guards against refusals of an account that is far below its rate. One of 20 entries serves a
 // third of the account's requests, a network partition hides the scheduler, and the callers
 // continue. With an equal share per entry, nearly all of their requests would be refused.
+//
+// The callers then double their requests, to 667 units per second. The entry may allow 0.95 of its
+// recent usage of 333 units per second, which is 48 % of the requests. The entry's share of the
+// slack, 0.317 × 2000 units, adds at most 16 % once. The bound is 65 %.
 func TestQuotaFollowsRecentUsage(t *testing.T) {
 	cfg := *newTestGate(t).view.Index.Config()
 	cfg.Accounts = map[string]acct.Account{"radio": {Rate: 1000, Burst: 1000}}
@@ -38,7 +42,7 @@
 	must.Eq(t, 1, share(30*time.Second, usual))
 	v.Owner = nil
 	must.Greater(t, 0.9, share(6*time.Second, usual))
-	must.Less(t, 0.65, share(6*time.Second, usual/2), must.Sprint("recent usage, and the slack once"))
+	must.Less(t, 0.65, share(6*time.Second, usual/2), must.Sprint("at most 0.95 of recent usage passes, and the share of the slack once"))
 	v.Owner = &wire.Member{Incarnation: "owner"}
 	must.Eq(t, 1, share(time.Second, usual))
 }
@@ -63,7 +67,7 @@
 			}
 		}
 	}
-	must.LessEq(t, 20, passed, must.Sprint("200 units each: at most the burst of the entry's share, once"))
+	must.LessEq(t, 20, passed, must.Sprint("20 requests of 200 units each stay below one burst of the entry's share, 5000 units or more"))
 }
 
 // The scheduler is lost and no upstream has capacity that this entry may use. If another scheduler
--- a/io/gate/request.go
+++ b/io/gate/request.go
@@ -33,7 +33,7 @@
 		accountConfig acct.Account
 		meta          meta.Meta
 		body          []byte
-		sinceFirstTry time.Duration // Estimated time since the caller first tried.
+		sinceFirstTry time.Duration // Estimated time from the caller's first attempt to this request.
 
 		avoid           []string // Upstreams that already failed the request.
 		sends           int
@@ -50,14 +50,14 @@
 
 	// result describes how one send ended.
 	result struct {
-		outcome outcome
-		status  int
-		failure *bufferedResponse // Upstream's error response, passed on if no other send does better.
-		first   time.Duration     // From the send to the first event, or to the complete response.
-		gap     time.Duration     // Longest pause between two events.
-		total   time.Duration
-		events  int64
-		err     error
+		outcome    outcome
+		status     int
+		failure    *bufferedResponse // Upstream's error response, passed on if no other send does better.
+		firstAfter time.Duration     // From the send to the first event, or to the complete response.
+		gap        time.Duration     // Longest pause between two events.
+		total      time.Duration
+		events     int64
+		err        error
 	}
 
 	outcome int
@@ -268,7 +268,7 @@
 		log = q.gate.Log
 	}
 	log.Info("Response complete.", "request", q.meta.ID, "route", q.routeName(), "sends", q.sends, "late-first", lateFirst,
-		"late-gap", lateGap, "first", first.String(), "upstream-first", res.first.String(), "gap", q.gap.String(),
+		"late-gap", lateGap, "first", first.String(), "upstream-first", res.firstAfter.String(), "gap", q.gap.String(),
 		"took", took.String(), "prompt", q.meta.Prompt, "answer", q.meta.Answer, "expect", q.meta.Expect, "events", q.events)
 }
 
@@ -324,7 +324,7 @@
 	return *q.cachedDigest
 }
 
-// units is the number of units that the request costs its account.
+// units returns the units that the request is charged to its account; see the package comment.
 func (q *request) units() int64 { return q.accountConfig.Units(q.meta.Prompt + q.meta.Answer) }
 
 func errText(err error) string {
--- a/io/gate/send.go
+++ b/io/gate/send.go
@@ -18,11 +18,12 @@
 const (
 	// maxBufferedAnswer is the largest response, in bytes, that is buffered before it is passed on.
 	maxBufferedAnswer = 16 << 20
-	// tryFraction is the fraction of a repeatable request's remaining time that an upstream gets to
-	// respond if the request may still be sent to another one.
-	tryFraction = 0.45
-	// minTry is the lower bound of that time.
-	minTry = 150 * time.Millisecond
+	// attemptFraction is the fraction of a repeatable request's remaining time that an upstream gets
+	// to respond if the request may still be sent to another one. It is below one half, so that a
+	// second and last attempt has more time than the first.
+	attemptFraction = 0.45
+	// minAttemptTime is the minimum time that an upstream gets to respond in such an attempt.
+	minAttemptTime = 150 * time.Millisecond
 	// firstEventFactor is how long a stream that can resume at another upstream waits for its first
 	// event, in multiples of the route's objective.
 	firstEventFactor = 2
@@ -102,12 +103,12 @@
 	if q.route.Stream {
 		return min(left, max(firstEventFactor*q.route.Objective, minEventWait))
 	}
-	return min(left, max(time.Duration(tryFraction*float64(left)), minTry))
+	return min(left, max(time.Duration(attemptFraction*float64(left)), minAttemptTime))
 }
 
 // silenceCause returns the error that ends a send whose upstream was silent for too long:
-// errDeadline if the request's time is over, and errSilent otherwise. Many requests may wait for a
-// silent upstream until their time is over.
+// errDeadline if the request's time is over, and errSilent otherwise. Both can be the cause,
+// because silenceLimit lets a request that may not run again wait until its time is over.
 func (q *request) silenceCause(ctx context.Context) error {
 	if q.expired(ctx) {
 		return errDeadline
@@ -126,7 +127,7 @@
 		res.outcome, res.err = outcomeInterrupted, withCause(ctx, err)
 		return
 	}
-	res.first = time.Since(start)
+	res.firstAfter = time.Since(start)
 	k := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		res.outcome, res.failure = outcomeFailed, k
--- a/io/gate/stream.go
+++ b/io/gate/stream.go
@@ -103,8 +103,8 @@
 // recordTiming records when events are written.
 func (s *stream) recordTiming(res *result) {
 	now := time.Now()
-	if res.first == 0 {
-		res.first = now.Sub(s.sentAt)
+	if res.firstAfter == 0 {
+		res.firstAfter = now.Sub(s.sentAt)
 	} else {
 		res.gap = max(res.gap, now.Sub(s.lastWriteAt))
 	}
--- a/io/gate/suspects.go
+++ b/io/gate/suspects.go
@@ -47,9 +47,10 @@
 	}
 )
 
-// checkCrash records a crash if a run broke off because the process of its upstream ended. A broken
-// link, an invalid response and a reset connection look the same at first, but then the upstream
-// still accepts connections, or the connection attempt gets no reply at all.
+// checkCrash records a crash if a run broke off because the process of its upstream ended. It
+// connects to the upstream's address, and only a refused connection counts as a crash. A broken
+// link, an invalid response and a reset connection also break a run off, but afterwards the
+// upstream accepts the new connection, or the connection attempt gets no reply.
 func (q *request) checkCrash(p *placement, res result) {
 	if res.outcome != outcomeInterrupted || errors.Is(res.err, errSilent) || errors.Is(res.err, errDeadline) {
 		return
@@ -105,8 +106,9 @@
 	return refuse.New(refuse.Crashes, "upstreams crashed under it before; its digest is "+q.digest().String(), 0)
 }
 
-// isBanned reports whether a request is banned. Crashes that only this entry observed count while
-// it has no scheduler. A scheduler knows which other requests ran at the upstreams that crashed.
+// isBanned reports whether a request is banned. The crashes that this entry itself observed decide
+// only while it has no scheduler. A scheduler decides better, because it also knows which other
+// requests ran at the upstreams that crashed, and thus whether another request explains a crash.
 func (s *suspects) isBanned(d digest.Digest, standalone bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/gate/suspects_test.go
+++ b/io/gate/suspects_test.go
@@ -34,7 +34,8 @@
 }
 
 // Guards against a request that keeps crashing upstreams, and against a ban of a request that met a
-// broken connection to a live upstream.
+// broken connection to a live upstream. A request is banned after crashes of three upstreams, so
+// only three of five sends reach an upstream. Broken connections lead to no ban, so all five do.
 func TestCrashOnlyIfProcessEnded(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/io/gated/gated.go
+++ b/io/gated/gated.go
@@ -1,4 +1,5 @@
-// Package gated runs the process of an entry that serves routes.
+// Package gated runs an entry: a process that serves callers' requests through a gate.Gate. A
+// deployment has many entries behind a load balancer.
 package gated
 
 import (
@@ -35,7 +36,8 @@
 	// drainLinger is how long a draining entry still accepts new connections. The load balancer
 	// probes every second and removes an entry after two failed probes.
 	drainLinger = 2500 * time.Millisecond
-	// stopMargin is how long before the drain limit the process ends.
+	// stopMargin is the time at the end of the drain limit that is left for stopping the process.
+	// Requests that still run when it begins are cut off.
 	stopMargin = 600 * time.Millisecond
 	// keepAliveDrain is how long requests on open keep-alive connections are served, before and
 	// again after the listener closes.
@@ -130,7 +132,8 @@
 	return lns, nil
 }
 
-// seeds re-reads the settings, since the file may change without a signal.
+// seeds returns the peer addresses of the seeds. It reads the settings file each time, because the
+// file may change without a signal. If the file can't be read, the previous addresses stay.
 func (e *Gated) seeds() []netip.AddrPort {
 	current, err := e.settings.Reread()
 	if err != nil {
@@ -172,7 +175,8 @@
 	return nil
 }
 
-// reportUsage periodically tells the scheduler the usage of accounts that it has not seen.
+// reportUsage periodically reports the accounts' usage by requests that this entry placed itself.
+// The scheduler has seen no tickets of these requests.
 func (e *Gated) reportUsage(ctx context.Context) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -199,8 +203,9 @@
 	}
 }
 
-// reportObservations tells the scheduler at once which rate limits and crashes responses have
-// shown. A new scheduler receives everything that this entry knows before it gets any ticket.
+// reportObservations reports rate limits and crashes to the scheduler as soon as this entry
+// observes them. A new scheduler receives all limits and crashes that this entry knows before it
+// gets any ticket.
 func (e *Gated) reportObservations(ctx context.Context) {
 	for {
 		select {
@@ -252,7 +257,8 @@
 	return nil
 }
 
-// noLocalScheduler stands for the scheduler in this process: an entry for routes has none.
+// noLocalScheduler takes the place of a scheduler in the same process, which an entry of this kind
+// does not have.
 type noLocalScheduler struct{}
 
 // Submit is never called, as this process never owns a pool.
--- a/io/hub/bans.go
+++ b/io/hub/bans.go
@@ -12,16 +12,17 @@
 	"azurelane/core/wire"
 )
 
-// bans holds the crash reports and bans of requests that crash upstreams. Entries report theirs
-// to a new scheduler, including crashes that led to no ban. Bans are also recorded in the
-// replicated log, as all processes may stop at once. The zero value is ready.
+// bans holds the crash reports and bans of requests that crash upstreams. Entries report all
+// crashes and bans that they know to a new scheduler, including crashes that led to no ban. Bans
+// are also recorded in the replicated log, because all processes may stop at once. The zero value
+// is ready.
 type bans struct {
 	mu             sync.Mutex
 	poison         poison.Poison
 	change         signal
 	lifted         map[digest.Digest]bool // Lifted here; the log may still list them.
-	recorded       map[digest.Digest]int  // Tries, as this scheduler last recorded them.
-	loadedRevision uint64                 // Of the recorded bans that were loaded last.
+	recorded       map[digest.Digest]int  // Number of trials, as this scheduler last recorded it.
+	loadedRevision uint64                 // Revision of the recorded bans that were loaded last.
 }
 
 // recordRetryDelay is the pause before another attempt to record bans.
@@ -58,7 +59,7 @@
 	b.notify(before)
 }
 
-// markLifted notes that a ban has to be removed from the log. The lock is held.
+// markLifted notes that a ban has to be removed from the log. b.mu must be held.
 func (b *bans) markLifted(d digest.Digest) {
 	if b.lifted == nil {
 		b.lifted = map[digest.Digest]bool{}
@@ -85,8 +86,8 @@
 }
 
 // unrecorded returns the changes that the log lacks, or nil. Each scheduler records a ban once,
-// and once more when it was tried: bans that a full record has evicted would otherwise be
-// recorded over and over.
+// and once more after a trial. The number of recorded bans is bounded; without this rule, bans
+// that were evicted from the full record would be recorded over and over.
 func (b *bans) unrecorded(list []*wire.Ban) *wire.RecordBans {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -172,8 +173,8 @@
 	return true
 }
 
-// notify wakes the entries that wait for news if the list has changed since revision before. The
-// lock is held.
+// notify wakes the entries that wait for news if the list's revision differs from the earlier
+// revision before. b.mu must be held.
 func (b *bans) notify(before uint64) {
 	if b.poison.Revision() != before {
 		b.change.broadcast()
@@ -206,8 +207,8 @@
 
 // handleBans answers a frame about requests that crash upstreams.
 //
-// While the network is partitioned, schedulers on both sides don't know each other's tries. So
-// only the leader lets banned requests be tried.
+// While the network is partitioned, schedulers on both sides don't know each other's trials. So
+// only the leader allows trials of banned requests.
 func (h *Hub) handleBans(f *wire.Frame) (*wire.Frame, error) {
 	if c := f.GetCrashes(); c != nil {
 		s := h.scheduler()
--- a/io/hub/bans_test.go
+++ b/io/hub/bans_test.go
@@ -54,7 +54,7 @@
 		changeLeader()
 		time.Sleep(5 * time.Second)
 		_, err = h.Handle(t.Context(), &wire.Frame{Body: &wire.Frame_Try{Try: &wire.Try{Digest: d[:]}}})
-		must.Error(t, err, must.Sprint("the former scheduler has used its one try"))
+		must.Error(t, err, must.Sprint("the only trial of the ban was used under the former scheduler"))
 
 		_, err = h.Handle(t.Context(), &wire.Frame{Body: &wire.Frame_BanQuery{BanQuery: &wire.BanQuery{Lift: [][]byte{d[:]}}}})
 		must.NoError(t, err)
@@ -92,6 +92,6 @@
 	must.Nil(t, b.unrecorded(nil))
 
 	b.merge(logr.Discard(), crashes("x", "y", "z"))
-	must.Len(t, 1, b.unrecorded(nil).GetBanned(), must.Sprint("it crashed upstreams again after the lift"))
+	must.Len(t, 1, b.unrecorded(nil).GetBanned(), must.Sprint("the request crashed upstreams again after the lift"))
 	must.SliceEmpty(t, b.unrecorded(recorded).GetLifted())
 }
--- a/io/hub/hub.go
+++ b/io/hub/hub.go
@@ -1,6 +1,6 @@
 // Package hub implements the services of a control replica on top of the replicated log: it
-// answers long polls of entries with changes, takes the announcements of upstreams and, on the
-// leader, schedules the pools.
+// answers long polls of entries with changes, takes the reports of upstreams and, on the leader,
+// schedules the pools. An entry is a process that serves callers; see package gate.
 package hub
 
 import (
@@ -37,11 +37,11 @@
 	// called.
 	Hub struct {
 		Replica          replica
-		Leader           proposer
+		LeaderClient     proposer
 		DataCentre       string                                 // Data centre of this replica.
 		Parse            func(doc []byte) (*conf.Config, error) // Parses a published document.
 		Voters           int                                    // Minimum number of voters for accepting a publication.
-		AnnounceInterval time.Duration                          // Interval between two announcements of an upstream.
+		AnnounceInterval time.Duration                          // Interval between two reports of an upstream.
 		Overage          float64                                // Fraction by which rates and bursts may be exceeded.
 		QuotaSlack       float64                                // Units added to every burst, on top of Overage.
 		Stats            *stats.Stats
@@ -68,7 +68,8 @@
 		Handle(ctx context.Context, f *wire.Frame) (*wire.Frame, error)
 	}
 
-	// proposer sends commands and queries to the leader, whichever replica that is.
+	// proposer is a client of the leader. It sends commands and queries to whichever replica
+	// leads.
 	proposer interface {
 		Propose(ctx context.Context, c *wire.Command) (*wire.Result, error)
 		Ask(ctx context.Context, build func() *wire.Frame) (*wire.Frame, error)
@@ -81,11 +82,11 @@
 	// are cut off.
 	schedulerOverageShare = 0.25
 	sweepInterval         = 200 * time.Millisecond // Between two checks for silent upstreams and entries.
-	// leaseIntervals is how many announcements in a row an upstream may miss before its lease
-	// ends. Single announcements get lost, and over a bad link they arrive seconds late.
+	// leaseIntervals is how many reports in a row an upstream may miss before its lease ends.
+	// Single reports get lost, and over a bad link they arrive seconds late.
 	leaseIntervals = 3
-	// takeoverLeaseIntervals is the lease, in announce intervals, that a new scheduler gives
-	// every upstream of the roster until it hears from that upstream.
+	// takeoverLeaseIntervals is the lease, in report intervals, that a new scheduler gives every
+	// upstream of the roster until that upstream reports.
 	takeoverLeaseIntervals = 3
 )
 
@@ -215,9 +216,9 @@
 	return s
 }
 
-// installConfig hands the newest publication to the scheduler and returns its version. Installed
-// is the version that the scheduler has, zero for none. A document that can't be parsed is
-// logged and skipped.
+// installConfig hands the newest publication to the scheduler and returns its version. The
+// scheduler already has the version installed, which is zero for none. A document that can't be
+// parsed is logged and skipped.
 func (h *Hub) installConfig(s *scheduler, installed uint64) uint64 {
 	v, doc := h.Replica.Publication()
 	if v == installed {
@@ -317,13 +318,15 @@
 	return nil, nil //nolint:nilnil // An empty reply is an acknowledgement.
 }
 
-// notLeaderFault returns the fault that names the leader to a peer, as far as it is known here.
+// notLeaderFault returns the fault that tells a peer the leader's address, if this replica knows
+// it.
 func (h *Hub) notLeaderFault() *wire.Fault {
 	return &wire.Fault{Code: wire.CodeMoved, Text: "this replica doesn't lead", Leader: h.Replica.Leader()}
 }
 
-// checkVoters returns an error while this replica leads a group with fewer voters than survive
-// the configured losses: a publication acknowledged by such a group could be lost with them.
+// checkVoters returns an error while this replica leads a group that has too few voters to
+// survive the configured losses: a publication that such a group acknowledged could be lost
+// together with the lost replicas.
 func (h *Hub) checkVoters() error {
 	if !h.Replica.Leads() {
 		return nil // Replica.Handle answers with the leader's address.
@@ -356,7 +359,7 @@
 // document is on the disks of a quorum.
 func (h *Hub) Publish(ctx context.Context, version uint64, doc []byte) error {
 	cmd := &wire.Command{Kind: &wire.Command_Publish{Publish: &wire.Publish{Version: version, Document: doc}}}
-	if _, err := h.Leader.Propose(ctx, cmd); err != nil {
+	if _, err := h.LeaderClient.Propose(ctx, cmd); err != nil {
 		return fmt.Errorf("hub: publish: %w", err)
 	}
 	return nil
@@ -365,7 +368,7 @@
 // Newest returns the version and the document in force. The version is never lower than one that
 // was acknowledged before the call.
 func (h *Hub) Newest(ctx context.Context) (uint64, []byte, error) {
-	f, err := h.Leader.Ask(ctx, func() *wire.Frame {
+	f, err := h.LeaderClient.Ask(ctx, func() *wire.Frame {
 		return &wire.Frame{Body: &wire.Frame_ConfigQuery{ConfigQuery: &wire.ConfigQuery{}}}
 	})
 	if err != nil {
--- a/io/hub/hub_test.go
+++ b/io/hub/hub_test.go
@@ -57,7 +57,7 @@
 	return f.changed
 }
 
-// notifyLocked closes the channel of Changed. The lock is held.
+// notifyLocked closes the channel of Changed. f.mu must be held.
 func (f *fakeReplica) notifyLocked() {
 	if f.changed != nil {
 		close(f.changed)
@@ -153,7 +153,7 @@
 				Pools:    map[string]pool.Pool{"engines": {ByRoute: true, Slots: 4, Scheduler: "batch"}},
 			}, nil
 		}}
-		h.Leader = directLeader{h}
+		h.LeaderClient = directLeader{h}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- h.Serve(ctx) }()
@@ -187,8 +187,8 @@
 	return f.GetDecision()
 }
 
-// An upstream announces that it leaves. Once that is answered, the scheduler grants it no more
-// requests, and every entry learns of it with its next poll.
+// An upstream reports that it leaves. Once the report is acknowledged, the scheduler grants no
+// more requests to that upstream, and every entry learns of the change with its next poll.
 func TestLeavingTakesEffectBeforeReply(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
 		must.NoError(t, h.Report(t.Context(), newReport("s", 1, wire.Upstream_STATE_SERVING)))
@@ -200,7 +200,7 @@
 		n, err = askNews(h, &wire.Watch{Node: "e", Incarnation: "i", Version: 1, Revision: n.GetRevision(), Leader: n.GetLeader()})
 		must.NoError(t, err)
 		must.Eq(t, wire.Upstream_STATE_LEAVING, n.GetRoster()[0].GetState())
-		must.NoError(t, h.Report(t.Context(), newReport("s", 1, wire.Upstream_STATE_SERVING)), must.Sprint("a late announcement is ignored"))
+		must.NoError(t, h.Report(t.Context(), newReport("s", 1, wire.Upstream_STATE_SERVING)), must.Sprint("a late report is ignored"))
 		must.NotNil(t, submit(h, 3, 1).GetRefusal())
 	})
 }
@@ -246,8 +246,8 @@
 	})
 }
 
-// With fewer voters than survive the configured losses, an acknowledged publication could be
-// lost with them.
+// Guards against the loss of an acknowledged publication: a group that has too few voters to
+// survive the configured losses must refuse to publish.
 func TestPublishNeedsAllVoters(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
 		f.setVoters(2)
--- a/io/hub/limits.go
+++ b/io/hub/limits.go
@@ -13,8 +13,8 @@
 )
 
 type (
-	// limits holds the request rates that upstreams accept, as they name them in answers and
-	// entries report them. The zero value is ready.
+	// limits holds the request rates that upstreams accept. Upstreams announce their limits in
+	// responses, and entries report these limits to the hub. The zero value is ready.
 	limits struct {
 		mu         sync.Mutex
 		byUpstream map[string]upstreamLimit
@@ -24,16 +24,16 @@
 	// upstreamLimit is the limit of one upstream.
 	upstreamLimit struct {
 		rate  float64   // Requests per second.
-		sent  time.Time // When the request was sent whose answer named the limit.
+		sent  time.Time // Send time of the request whose response announced the limit.
 		heard time.Time // When the limit was last reported.
 	}
 )
 
 // merge records the limits that entries report and returns the upstreams whose limits changed.
-// Reports may arrive out of order, as a slow entry may delay the head of a stream, and a bad
-// link its report. So an answer without a limit ends the limit only if its request was sent
-// after the limit was last reported, and an answer to a request older than the one that named
-// the limit changes nothing.
+// Reports may arrive out of order: a slow entry may be late to read the header of a response, and
+// a bad link may delay the entry's report. So a response without a limit ends the limit only if
+// its request was sent after the limit was last reported. A response changes nothing if its
+// request was sent before the request whose response announced the limit.
 func (l *limits) merge(now time.Time, list []*wire.Limit) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,8 +63,8 @@
 		}
 		changed = append(changed, r.GetUpstream())
 	}
-	// A rate that changes with each answer must not wake all entries each time. They get it with
-	// their next poll. The scheduler's own grants respect it at once.
+	// A rate that changes with each response must not wake all entries each time. Entries get the
+	// new rate with their next poll. The scheduler's own grants respect it at once.
 	if added || len(l.byUpstream) != countBefore {
 		l.change.broadcast()
 	}
@@ -85,15 +85,15 @@
 	delete(l.byUpstream, upstream)
 }
 
-// changed returns a channel that is closed when an upstream next names its first limit, or stops
-// naming one.
+// changed returns a channel that is closed when an upstream without a limit next announces one,
+// or when a limit next ends.
 func (l *limits) changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.change.wait()
 }
 
-// rate returns the limit of an upstream in requests per second. Ok is false if it has none.
+// rate returns the limit of an upstream in requests per second, or false if it has none.
 func (l *limits) rate(upstream string) (rate float64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,9 +101,9 @@
 	return limit.rate, ok
 }
 
-// listFor returns the limits for an entry, with the shares of that entry. Known returns the
-// entries that share the limits, and whether these are all; if not, the entry is told to keep
-// its present shares.
+// listFor returns the limits for an entry, with the shares of that entry. The function known
+// returns the entries that share the limits, and whether these are all entries. If they are not
+// all, the entry is told to keep its present shares.
 func (l *limits) listFor(now time.Time, node string, known func() (entries []string, all bool)) []*wire.Limit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,9 +122,9 @@
 }
 
 // limitShare returns the fraction of an upstream's limit that an entry may use while it places
-// requests by itself. Only as many entries get a share as can soon send a whole request each: if
-// hundreds of entries had a tiny share, each would save up for one request, and all would send
-// it at once. The entries are chosen by rendezvous hashing.
+// requests by itself. The number of entries with a share is limited so that each of them can soon
+// send a whole request: if hundreds of entries had a tiny share, each would save up for one
+// request, and all would send it at once. The entries are chosen by rendezvous hashing.
 func limitShare(upstream string, rate float64, node string, entries []string) float64 {
 	holders := min(1+int(min(rate, float64(len(entries)))), len(entries))
 	weight := func(n string) uint64 { return xxhash.Sum64String(n + "\x00" + upstream) }
--- a/io/hub/limits_test.go
+++ b/io/hub/limits_test.go
@@ -10,8 +10,8 @@
 	"azurelane/core/wire"
 )
 
-// Guards against a limit that is dropped or reverted by answers that arrive late, and against a
-// limit that stays after the upstream has stopped naming it.
+// Guards against a limit that is dropped or reverted by responses that arrive late, and against a
+// limit that stays after the upstream has stopped announcing it.
 func TestLateAnswersDoNotChangeLimits(t *testing.T) {
 	const sec = time.Second
 	start := time.Unix(1000, 0)
@@ -22,9 +22,9 @@
 		return &wire.Limit{Upstream: "a", Ended: true, AgeUs: age.Microseconds()}
 	}
 	for _, tc := range []struct {
-		name  string
-		comes []*wire.Limit // One second apart.
-		want  float64       // Below zero for none.
+		name    string
+		reports []*wire.Limit // One second apart.
+		want    float64       // Below zero for none.
 	}{
 		{"none named", []*wire.Limit{ended(0)}, -1},
 		{"named", []*wire.Limit{named(2, 0)}, 2},
@@ -36,7 +36,7 @@
 		{"named again", []*wire.Limit{named(2, 0), ended(sec / 2), named(1, 0)}, 1},
 	} {
 		var l limits
-		for i, r := range tc.comes {
+		for i, r := range tc.reports {
 			l.merge(start.Add(time.Duration(i)*sec), []*wire.Limit{r})
 		}
 		rate, ok := l.rate("a")
@@ -69,7 +69,7 @@
 	}
 }
 
-// Guards against a limit that outlives the upstream process that named it.
+// Guards against a limit that outlives the upstream process that announced it.
 func TestLimitsOfGoneUpstreamsAreDropped(t *testing.T) {
 	var l limits
 	now := time.Unix(1000, 0)
@@ -81,7 +81,7 @@
 	must.Eq(t, "c", list[0].GetUpstream())
 }
 
-// Guards against a limit that changes with each answer and wakes all entries each time.
+// Guards against a limit that changes with each response and wakes all entries each time.
 func TestChangedRateDoesNotWakeWatchers(t *testing.T) {
 	var l limits
 	now := time.Unix(1000, 0)
@@ -157,8 +157,9 @@
 	})
 }
 
-// Guards against upstreams in a data centre that is cut off which get no requests, and whose
-// limits thus never end, because the entries that hold shares are on the other side.
+// Guards against upstreams that get no requests while their data centre is cut off, because all
+// entries that hold shares of their limits are on the other side. Without requests, these limits
+// would never end.
 func TestLimitSharesWhileCutOff(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
 		h.DataCentre = "z1"
@@ -175,8 +176,8 @@
 }
 
 // Guards against an entry that takes a former limit for a new one. The entry computes the time
-// of a limit from its age and the moment at which the answer arrives, so the age must not be
-// from before the wait.
+// of a limit from its age and the time at which the reply to its poll arrives, so the age must
+// not be from before the wait.
 func TestLimitAgeIsCurrentAfterLongPoll(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
 		must.NoError(t, h.Report(t.Context(), newReport("up", 1, wire.Upstream_STATE_SERVING)))
--- a/io/hub/rates.go
+++ b/io/hub/rates.go
@@ -101,15 +101,16 @@
 	return true
 }
 
-// estimatePrior estimates how many units per second an account used before. All is the number of
-// entries; entries that have not reported are assumed to match the average of the others.
-func (r *rates) estimatePrior(all int64, account string) float64 {
-	return r.priorTotals[account] * max(float64(all)/float64(max(len(r.priorRates), 1)), 1)
+// estimatePrior estimates how many units per second an account used at all entries before they
+// polled this scheduler. Entries that have not reported are assumed to match the average of the
+// others.
+func (r *rates) estimatePrior(entriesTotal int64, account string) float64 {
+	return r.priorTotals[account] * max(float64(entriesTotal)/float64(max(len(r.priorRates), 1)), 1)
 }
 
 // leaderShare returns the share of an account's rate that the leader admits itself.
 func (r *rates) leaderShare(name string) float64 {
-	// Entries that this leader never heard are assumed to use as much as the others.
+	// Entries that never polled this leader are assumed to admit as much as the others.
 	used, rate := r.silentRate(name)+r.unseenRatio*r.priorTotals[name], r.accounts[name].Rate
 	if used == 0 || rate <= 0 {
 		return 1
@@ -118,7 +119,7 @@
 }
 
 // cutOffShare returns the share of an account's rate that a scheduler of one data centre admits.
-// Share is its fraction of all entries.
+// The parameter share is the fraction of all entries that this scheduler serves.
 func (r *rates) cutOffShare(name string, share float64) float64 {
 	return allow.Alone(share, r.priorTotals[name], r.accounts[name].Rate)
 }
--- a/io/hub/rates_test.go
+++ b/io/hub/rates_test.go
@@ -23,7 +23,7 @@
 			h.leaderScheduler().chargeUsage(&wire.Usage{Incarnation: "far", Accounts: []*wire.AccountUsage{{Account: "a", Units: 40}}})
 			time.Sleep(100 * time.Millisecond)
 		}
-		rate(entrySilentAfter + time.Second) // It uses up its burst.
+		rate(entrySilentAfter + time.Second) // The account uses up its burst.
 		must.Between(t, 540, rate(4*time.Second), 620)
 		pollAs(t, h, "far")
 		time.Sleep(time.Second)
@@ -35,14 +35,14 @@
 
 // A data centre is cut off together with the leader, and an account asks for its whole rate on
 // both sides. The new leader has never heard the entries that are cut off, which go on admitting
-// the rates used there before. It reserves rates for them by their number; otherwise the
-// account's servers would get a fifth more than agreed. The whole rate is admitted again once
-// the entries poll, or once silentEntryRetention has passed.
+// the rates used there before. It reserves rates for them by their number; otherwise both sides
+// together would admit a fifth more than the account's rate allows. The whole rate is admitted
+// again once the entries poll, or once silentEntryRetention has passed.
 func TestNewLeaderReservesRateForUnseenEntries(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, _ *fakeReplica) {
 		_, err := askNews(h, &wire.Watch{Node: "near", Incarnation: "near", Entries: 2, Rates: []*wire.AccountUsage{{Account: "a", Units: 500}}})
 		must.NoError(t, err)
-		admittedRate(t, h, 2*time.Second) // It uses up its burst.
+		admittedRate(t, h, 2*time.Second) // The account uses up its burst.
 		must.Between(t, 430, admittedRate(t, h, 4*time.Second), 520)
 		pollAs(t, h, "far")
 		time.Sleep(time.Second)
--- a/io/hub/reachability.go
+++ b/io/hub/reachability.go
@@ -14,8 +14,9 @@
 	reachCheckInterval = 50 * time.Millisecond
 	// unreachedAfter is how long a data centre must show no sign of life before it counts as
 	// unreached: no replica there answers the leader, which sends heartbeats every 40 ms, and no
-	// upstream there completes a run for an entry that reaches the leader. A request sent to a
-	// data centre that is cut off waits half a second for a connection that never opens.
+	// upstream there completes a request for an entry that reaches the leader. It is 250 ms
+	// because a request sent to a data centre that is cut off waits half a second for a connection
+	// that never opens.
 	unreachedAfter = 250 * time.Millisecond
 )
 
@@ -23,13 +24,13 @@
 // data centre.
 type reachability struct {
 	mu             sync.Mutex
-	servedAt       map[string]time.Time // Last completed run, by data centre.
+	servedAt       map[string]time.Time // Time of the last completed request, by data centre.
 	unreachedSince map[string]time.Time // Data centres that seem cut off, and since when.
-	heardAt        map[string]time.Time // When a replica there was last heard, by data centre.
+	heardAt        map[string]time.Time // Time of the last reply from a replica, by data centre.
 	change         signal
 }
 
-// markServed records that an upstream of a data centre completed a run.
+// markServed records that an upstream of a data centre completed a request.
 func (r *reachability) markServed(now time.Time, dataCentre string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,8 +40,8 @@
 	r.servedAt[dataCentre] = now
 }
 
-// update takes the silence of the other replicas as the leader sees it, and reports whether the
-// list of unreached data centres has changed.
+// update takes the times since the leader last heard from each of the other replicas, and returns
+// whether the list of unreached data centres has changed.
 func (r *reachability) update(now time.Time, peers []raft.PeerStatus) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,9 +56,9 @@
 	changed := false
 	for dc, at := range r.heardAt {
 		since, unreached := r.unreachedSince[dc]
-		// A run that completes after the replica has been silent for unreachedAfter shows that
-		// the replica is down and the network is not. The data centre is not suspected again
-		// until its replica answers.
+		// A request that an upstream completes after the replica has been silent for
+		// unreachedAfter shows that the replica is down and the network is not. The data centre is
+		// not suspected again until its replica answers.
 		silent := now.Sub(at) > unreachedAfter && now.Sub(r.servedAt[dc]) > unreachedAfter && !r.servedAt[dc].After(at.Add(unreachedAfter))
 		switch {
 		case unreached && (at.After(since) || r.servedAt[dc].After(since)):
--- a/io/hub/scheduler.go
+++ b/io/hub/scheduler.go
@@ -36,8 +36,8 @@
 	version   uint64
 	startedAt time.Time
 	// entriesHere is the number of entries in this data centre, for a scheduler of one data
-	// centre. entriesTotal is the number of all entries. Entries know it from the former
-	// scheduler.
+	// centre. entriesTotal is the number of all entries, which entries know from the former
+	// scheduler and report.
 	entriesHere, entriesTotal int64
 	loggedShares              map[string]float64 // Shares of rates as last logged, by account.
 	sharesLoggedAt            time.Time
@@ -51,13 +51,13 @@
 	s.updateShares(time.Now())
 }
 
-// updateShares recomputes the shares of the accounts' rates that this scheduler may admit. The
-// lock is held.
+// updateShares recomputes the shares of the accounts' rates that this scheduler may admit. s.mu
+// must be held.
 func (s *scheduler) updateShares(now time.Time) {
 	s.allow.SetEach(now, s.rates.accounts, s.accountShare)
 }
 
-// accountShare returns the share of an account's rate that this scheduler may admit. The lock is
+// accountShare returns the share of an account's rate that this scheduler may admit. s.mu must be
 // held.
 func (s *scheduler) accountShare(account string) float64 {
 	if s.scope == scopeDataCentre {
@@ -67,8 +67,9 @@
 }
 
 // registerEntry takes the rates that an entry reports when it first polls this scheduler, and
-// its count of all entries. Here is the number of entries that the scheduler may serve.
-func (s *scheduler) registerEntry(w *wire.Watch, here int64) {
+// the number of all entries as that entry knows it. The number of entries that this scheduler may
+// serve is entriesHere.
+func (s *scheduler) registerEntry(w *wire.Watch, entriesHere int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.entriesTotal = max(s.entriesTotal, w.GetEntries())
@@ -78,13 +79,13 @@
 	}
 	isNew := s.rates.addPrior(w.GetIncarnation(), w.GetRates())
 	if s.scope == scopeDeployment {
-		// The accounts of a leader start with a full burst, as after a full restart no account
-		// has been used for a while. When they started with a fraction of a burst, as is needed
-		// if another leader may have just admitted all of it, most callers who returned after
-		// the restart were refused although they were far below their rate. The prior usage that
-		// entries report is deducted instead, and the first entries stand for all: otherwise,
-		// until the last one has reported, an account that asks for several times its rate would
-		// get a full burst again.
+		// The accounts of a new leader start with a full burst, because after a restart of the
+		// whole deployment no account has been used for a while. If they started with a fraction
+		// of a burst, most callers who return after such a restart would be refused although they
+		// are far below their rate. A former leader may have admitted a full burst just before,
+		// so the prior usage that entries report is deducted. Entries that have not reported yet
+		// are assumed to match the average of the others: otherwise, until the last one has
+		// reported, an account that asks for several times its rate would get a full burst again.
 		for account, units := range estimates {
 			if more := s.rates.estimatePrior(s.entriesTotal, account) - units; more > 0 {
 				s.allow.Used(now, account, more)
@@ -92,25 +93,26 @@
 		}
 		return
 	}
-	if !isNew && s.entriesHere == here {
+	if !isNew && s.entriesHere == entriesHere {
 		return
 	}
-	s.entriesHere = here
+	s.entriesHere = entriesHere
 	s.updateShares(now)
 	for account := range s.rates.accounts {
 		s.allow.Grown(now, account) // Adds the units that a larger share starts with.
 	}
 }
 
-// entryCount returns how many entries share the limits. It includes entries that a scheduler of
-// one data centre does not hear, and entries that have not polled a new leader yet.
-func (s *scheduler) entryCount(here int64) int64 {
+// entryCount returns how many entries share the limits, of which entriesHere poll this scheduler.
+// The count includes entries that a scheduler of one data centre does not hear, and entries that
+// have not polled a new leader yet.
+func (s *scheduler) entryCount(entriesHere int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.scope == scopeDeployment && time.Since(s.startedAt) > silentEntryRetention {
-		return here
+		return entriesHere
 	}
-	return max(here, s.entriesTotal)
+	return max(entriesHere, s.entriesTotal)
 }
 
 // setSilentEntries reserves for silent entries the rates that they may still admit.
@@ -125,21 +127,21 @@
 }
 
 // reserveForUnseen reserves rates for entries that followed the former leader and have not
-// polled this one: they may be cut off together with it and still serve. Here is the number of
-// entries that have polled.
-func (s *scheduler) reserveForUnseen(now time.Time, here int64) {
+// polled this one: they may be cut off together with the former leader and still serve. The
+// number of entries that have polled this leader is entriesHere.
+func (s *scheduler) reserveForUnseen(now time.Time, entriesHere int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ratio := 0.0
-	if age := now.Sub(s.startedAt); s.scope == scopeDeployment && age > takeoverGrace && age <= silentEntryRetention && here > 0 {
-		ratio = float64(max(s.entriesTotal-here, 0)) / float64(here)
+	if age := now.Sub(s.startedAt); s.scope == scopeDeployment && age > takeoverGrace && age <= silentEntryRetention && entriesHere > 0 {
+		ratio = float64(max(s.entriesTotal-entriesHere, 0)) / float64(entriesHere)
 	}
 	if ratio == s.rates.unseenRatio {
 		return
 	}
 	s.rates.unseenRatio = ratio
 	s.updateShares(now)
-	s.log.Info("Number of entries that never polled this leader changed.", "here", here, "in-all", s.entriesTotal)
+	s.log.Info("Number of entries that never polled this leader changed.", "here", entriesHere, "in-all", s.entriesTotal)
 }
 
 // forgetEntry drops the slots and the usage of an entry that is gone.
@@ -216,8 +218,8 @@
 
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// release frees a slot. A completed run shows that its upstream is alive, even if the upstream's
-// announcements get lost.
+// release frees a slot. A completed request shows that its upstream is alive, even if the
+// upstream's reports get lost.
 func (s *scheduler) release(rel *wire.Release) {
 	if rel.GetWhole() {
 		now := time.Now()
--- a/io/hub/scope.go
+++ b/io/hub/scope.go
@@ -5,13 +5,16 @@
 // scope is the set of entries that a replica schedules for.
 //
 // The leader schedules for all entries that reach it. Entries of a data centre that is cut off
-// do not reach it, and no leader is elected there. On their own these entries know too little.
-// For the first half second they wait for upstreams on the other side. An account is held to the
-// share of a single entry, which is less than one large request where there are hundreds of
-// entries. Many entries place requests at the same engine. So a replica that is cut off with
-// them schedules the upstreams of its own data centre for them, within the shares of the rates
-// that the leader reserves for silent entries. It only places requests. Like any replica without
-// a quorum, it refuses what needs the log.
+// do not reach it, and no leader is elected there. A replica that is cut off with these entries
+// schedules the upstreams of its own data centre for them, within the shares of the rates that
+// the leader reserves for silent entries. This replica only places requests. Like any replica
+// without a quorum, it refuses commands that need the log.
+//
+// Without such a scheduler, each entry would place requests by its own observations alone, which
+// has three drawbacks. For the first half second, entries would wait for upstreams on the other
+// side. Each entry would hold an account to the share of a single entry, which is less than one
+// large request where there are hundreds of entries. Many entries would send requests to the
+// same upstream.
 type scope int
 
 const (
--- a/io/hub/scope_test.go
+++ b/io/hub/scope_test.go
@@ -74,10 +74,10 @@
 	})
 }
 
-// Upstreams in a data centre that is cut off announce themselves to the replica there, which
-// can't store anything. The announcement of a serving upstream is acknowledged, and the upstream
-// stays in use. One that leaves gets no more requests, but no acknowledgement that all entries
-// know of it.
+// Upstreams in a data centre that is cut off send their reports to the replica there, which can't
+// store anything. The report of a serving upstream is acknowledged, and the upstream stays in use.
+// An upstream that leaves gets no more requests, but its report is not acknowledged: an
+// acknowledgement would mean that all entries know of the change.
 func TestAnnouncementsWhileCutOff(t *testing.T) {
 	runHub(t, func(t *testing.T, h *Hub, f *fakeReplica) {
 		h.DataCentre = "z1"
@@ -150,14 +150,14 @@
 	return units / rateWindow.Seconds()
 }
 
-// A data centre falls silent: no replica there answers, and no run that was sent there
-// completes. A silent replica alone is no sign of a cut while upstreams beside it go on
-// completing runs, and neither are idle upstreams.
+// A data centre falls silent: no replica there answers, and no request that was sent there
+// completes. A silent replica alone is no sign of a cut while upstreams of the same data centre
+// still complete requests. Idle upstreams alone are no sign of a cut either.
 func TestReachability(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		replica bool // The replica there answers.
-		serves  bool // Upstreams there complete runs.
+		serves  bool // Upstreams there complete requests.
 		want    []string
 	}{
 		{"both", true, true, nil},
--- a/io/hub/upstreams.go
+++ b/io/hub/upstreams.go
@@ -15,12 +15,13 @@
 )
 
 type (
-	// upstreamTable tracks the upstreams that a scheduler has heard from since it started. The
+	// upstreamTable tracks the upstreams that a scheduler knows. Upstreams send reports to the
+	// hub, and the hub passes the state of an upstream on to sched.Sched as an announcement. The
 	// zero value is ready.
 	upstreamTable struct {
 		mu     sync.Mutex
 		byID   map[string]*upstreamState
-		silent []string      // Upstreams that were not heard from lately, sorted.
+		silent []string      // Upstreams without a recent sign of life, sorted; see findSilent.
 		lease  time.Duration // Lease that the last announcement gave.
 	}
 
@@ -30,28 +31,28 @@
 		seq         uint64 // Sequence number of the newest report.
 		born        int64  // Start of the process, in Unix milliseconds.
 		reportedAt  time.Time
-		servedAt    time.Time // When it last completed a run.
-		announceSeq uint64    // Number of the last announcement to the scheduler; it must grow.
+		servedAt    time.Time // When it last completed a request.
+		announceSeq uint64    // Sequence number of the last announcement to sched.Sched; it must grow.
 		unreached   bool      // Its data centre seems cut off.
 		limit       *wire.Limit
 	}
 )
 
-// Report takes an upstream's announcement at any replica and forwards it to the leader. If the
-// announcement changes the roster, Report returns once a quorum has stored the change.
+// Report takes an upstream's report at any replica and forwards it to the leader. If the report
+// changes the roster, Report returns once a quorum has stored the change.
 func (h *Hub) Report(ctx context.Context, r *wire.Report) error {
 	if s := h.scheduler(); s != nil && s.scope == scopeDataCentre && h.reportCutOff(s, r) {
 		return nil
 	}
-	_, err := h.Leader.Ask(ctx, func() *wire.Frame { return &wire.Frame{Body: &wire.Frame_Report{Report: r}} })
+	_, err := h.LeaderClient.Ask(ctx, func() *wire.Frame { return &wire.Frame{Body: &wire.Frame_Report{Report: r}} })
 	if err != nil {
 		return fmt.Errorf("hub: report: %w", err)
 	}
 	return nil
 }
 
-// handleReport handles an announcement on the leader. It ignores an announcement that a later
-// one of the same upstream has overtaken.
+// handleReport handles an upstream's report on the leader. It ignores a report that arrives after
+// a later one of the same upstream.
 func (h *Hub) handleReport(ctx context.Context, rep *wire.Report) error {
 	s := h.leaderScheduler()
 	if s == nil {
@@ -91,10 +92,10 @@
 	return nil
 }
 
-// reportCutOff handles an announcement at a scheduler that is cut off with its data centre, and
-// reports whether it can be acknowledged here. An announcement that changes the roster can't be,
-// as the change can't be stored without a quorum. An upstream that leaves gets no more requests
-// all the same.
+// reportCutOff handles an upstream's report at a scheduler that is cut off with its data centre,
+// and returns whether the report can be acknowledged here. A report that changes the roster can't
+// be acknowledged, because the change can't be stored without a quorum. An upstream that leaves
+// still gets no more requests.
 func (h *Hub) reportCutOff(s *scheduler, rep *wire.Report) bool {
 	u := rep.GetUpstream()
 	known := h.Replica.Upstream(u.GetId())
@@ -109,15 +110,15 @@
 		return true
 	}
 	if u.GetState() != wire.Upstream_STATE_SERVING {
-		gone := proto.CloneOf(known)
-		gone.State = u.GetState()
-		h.announce(s, gone, leaseIntervals)
+		leaving := proto.CloneOf(known)
+		leaving.State = u.GetState()
+		h.announce(s, leaving, leaseIntervals)
 	}
 	return false
 }
 
-// announce hands an upstream to the scheduler. The lease is the given number of announce
-// intervals and half an interval more.
+// announce announces an upstream to sched.Sched. The lease is the given number of report intervals
+// and half an interval more.
 func (h *Hub) announce(s *scheduler, u *wire.Upstream, intervals int) {
 	lease := time.Duration(intervals)*h.AnnounceInterval + h.AnnounceInterval/2
 	if a := s.upstreams.announce(u, s.limitFor(u.GetId()), lease); a != nil {
@@ -125,7 +126,7 @@
 	}
 }
 
-// getOrCreate returns the state of an upstream. The lock is held.
+// getOrCreate returns the state of an upstream. t.mu must be held.
 func (t *upstreamTable) getOrCreate(u *wire.Upstream) *upstreamState {
 	if t.byID == nil {
 		t.byID = map[string]*upstreamState{}
@@ -146,7 +147,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	st := t.getOrCreate(u)
-	if u.GetBorn() > st.born { // A restarted upstream numbers its announcements from 1 again.
+	if u.GetBorn() > st.born { // A restarted upstream numbers its reports from 1 again.
 		st.seq, st.born = 0, u.GetBorn()
 	}
 	if seq <= st.seq && st.seq > 0 {
@@ -156,8 +157,7 @@
 	return true
 }
 
-// announce records the roster entry of an upstream and returns the announcement for the
-// scheduler.
+// announce records the roster entry of an upstream and returns the announcement for sched.Sched.
 func (t *upstreamTable) announce(u *wire.Upstream, l *wire.Limit, lease time.Duration) *wire.Announce {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -170,7 +170,7 @@
 	return st.announcement(lease)
 }
 
-// announcement returns the next announcement of the upstream for the scheduler.
+// announcement returns the next announcement of the upstream for sched.Sched.
 func (st *upstreamState) announcement(lease time.Duration) *wire.Announce {
 	st.announceSeq++
 	return &wire.Announce{
@@ -180,8 +180,8 @@
 	}
 }
 
-// setLimit sets the rate limit of an upstream and returns the announcement for the scheduler,
-// with the rest of the lease. It returns nil if the upstream is unknown.
+// setLimit sets the rate limit of an upstream and returns the announcement for sched.Sched, with
+// the rest of the lease. It returns nil if the upstream is unknown.
 func (t *upstreamTable) setLimit(now time.Time, id string, l *wire.Limit) *wire.Announce {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,7 +193,7 @@
 	return st.announcement(t.remainingLease(now, st))
 }
 
-// remainingLease returns the rest of an upstream's lease. The lock is held.
+// remainingLease returns the rest of an upstream's lease. t.mu must be held.
 func (t *upstreamTable) remainingLease(now time.Time, st *upstreamState) time.Duration {
 	last := st.reportedAt
 	if st.servedAt.After(last) {
@@ -202,9 +202,9 @@
 	return t.lease - now.Sub(last)
 }
 
-// markServed records that an upstream completed a run and returns its data centre. If the
-// upstream has not announced itself for half a lease, markServed also returns an announcement
-// that extends the lease: an upstream that is cut off from control may still serve.
+// markServed records that an upstream completed a request and returns its data centre. If the
+// upstream has sent no report for half a lease, markServed also returns an announcement that
+// extends the lease: an upstream that is cut off from the control replicas may still serve.
 func (t *upstreamTable) markServed(now time.Time, id string) (string, *wire.Announce) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -238,8 +238,8 @@
 	return list
 }
 
-// findSilent lists the upstreams that have neither announced themselves nor completed a run
-// within timeout. It drops upstreams that have been gone for goneRetention.
+// findSilent lists the upstreams that have neither sent a report nor completed a request within
+// timeout. It drops upstreams that have been gone for goneRetention.
 func (t *upstreamTable) findSilent(now time.Time, timeout time.Duration) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -257,6 +257,6 @@
 	return list
 }
 
-// goneRetention is how long the sequence number of an upstream that is gone is kept. Its last
-// announcements may arrive some seconds late and must not count as new.
+// goneRetention is how long the sequence number of an upstream that is gone is kept. The last
+// reports of such an upstream may arrive some seconds late and must not count as new.
 const goneRetention = time.Minute
--- a/io/hub/watch.go
+++ b/io/hub/watch.go
@@ -17,10 +17,10 @@
 	// not send every entry a separate answer for each.
 	newsBatchDelay = 15 * time.Millisecond
 	// entryTimeout is the silence after which an entry's slots are freed. A live entry polls
-	// again at the latest when the wait of its poll ends.
+	// again when the wait of its poll ends, which takes at most 2 s.
 	entryTimeout = 6 * time.Second
-	// silentEntryRetention is how long a silent entry still counts as one that shares the
-	// limits: it may be cut off and still serve.
+	// silentEntryRetention is how long a silent entry still counts among the entries that share
+	// the limits: it may be cut off and still serve.
 	silentEntryRetention = 30 * time.Second
 )
 
--- a/io/hubd/hubd.go
+++ b/io/hubd/hubd.go
@@ -35,10 +35,12 @@
 	memoryLimitShare = 0.7
 	leaveTimeout     = 3 * time.Second // For handing over leadership when the process stops.
 	// voterAwayShare is the fraction of the catch-up time after which a silent voter is
-	// replaced. The rest is left for the membership change itself.
+	// replaced. The catch-up time is a setting: a lost replica must be replaced by a live one
+	// within it. The rest of it is left for the membership change itself.
 	voterAwayShare = 0.6
-	// electionTimeout is shorter than in a group that an operator sets up: these replicas are
-	// milliseconds apart, and entries place requests by themselves while there is no leader.
+	// electionTimeout is shorter than raft.DefaultElectionTimeout (1 s), which package quorum
+	// uses for groups that an operator sets up: these replicas are milliseconds apart, and entries
+	// place requests by themselves while there is no leader.
 	electionTimeout    = 400 * time.Millisecond
 	drainOpenTime      = 200 * time.Millisecond // For open connections, before and after the listener closes.
 	learnerForgetAfter = time.Minute            // Silence after which a learner is removed from the group.
@@ -59,8 +61,8 @@
 	front *httpd.Httpd
 }
 
-// Open reads the data folder and binds the addresses. Calls returns the handler for the calls of
-// upstreams and operators, and parse reads published documents.
+// Open reads the data folder and binds the addresses. The function calls returns the handler for
+// the calls of upstreams and operators, and parse parses published documents.
 func Open(settings *local.Local, calls func(*hub.Hub) http.Handler, parse func(doc []byte) (*conf.Config, error), log logr.Logger) (*Hubd, error) {
 	if settings.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.MemoryMB<<20)))
@@ -98,7 +100,7 @@
 		Losses: settings.Losses, Centres: len(settings.Centres), Away: time.Duration(voterAwayShare * float64(settings.CatchUp)), Forget: learnerForgetAfter,
 	}
 	h := &hub.Hub{
-		Replica: d.ctrl, Leader: toLeader, DataCentre: settings.Centre, Parse: parse, Voters: group.Voters(),
+		Replica: d.ctrl, LeaderClient: toLeader, DataCentre: settings.Centre, Parse: parse, Voters: group.Voters(),
 		AnnounceInterval: settings.Announce, Overage: settings.Overage, QuotaSlack: settings.QuotaSlack, Stats: metrics, Log: d.log, RefusalLog: logs.Budget{Most: maxRefusalLogLines},
 	}
 	h.RegisterGauges()
