--- a/core/form/form.go
+++ b/core/repair/form.go
@@ -1,6 +1,6 @@
 // Package form decides how a control group repairs itself: which replica is
 // to be added, promoted or removed next.
-package form
+package repair
 
 import (
 	"time"
@@ -9,35 +9,35 @@
 	"azurelane/core/wire"
 )
 
-// Form holds what the group is to tolerate. Its fields are set before use.
-type Form struct {
-	Losses  int           // Replicas that may be lost with their disks at once.
-	Centres int           // Data centres that have replicas.
-	Away    time.Duration // Silence after which a voter is replaced by a live learner.
-	Forget  time.Duration // Silence after which a learner is removed.
+// Policy holds what the group is to tolerate. Its fields are set before use.
+type Policy struct {
+	MaxLosses  int           // Replicas that may be lost with their disks at once.
+	DataCentres int           // Data centres that have replicas.
+	ReplaceAfter    time.Duration // Silence after which a voter is replaced by a live learner.
+	RemoveLearnerAfter  time.Duration // Silence after which a learner is removed.
 }
 
 // present is the longest silence of a replica that may be promoted: some
 // heartbeats of the leader.
 const present = 500 * time.Millisecond
 
-// Voters is the number of voters that outlives the losses: a command is
+// TargetVoters is the number of voters that outlives the losses: a command is
 // acknowledged by more than half of them, so that one that has it remains, and
 // the remaining ones are still more than half.
-func (f Form) Voters() int { return 2*f.Losses + 1 }
+func (f Policy) TargetVoters() int { return 2*f.MaxLosses + 1 }
 
 // perCentre bounds the voters in one data centre. With more the loss of that
 // data centre would take the quorum along.
-func (f Form) perCentre() int {
-	if most := max(f.Losses, 1); most*f.Centres >= f.Voters() {
+func (f Policy) perCentre() int {
+	if most := max(f.MaxLosses, 1); most*f.DataCentres >= f.TargetVoters() {
 		return most
 	}
-	return f.Voters() // The data centres are too few to spread the voters.
+	return f.TargetVoters() // The data centres are too few to spread the voters.
 }
 
-// Next returns the change that a leader should propose now, or nil. Self is the
+// NextChange returns the change that a leader should propose now, or nil. Self is the
 // leader, others what it hears of the rest of the group.
-func (f Form) Next(self *wire.Replica, others []raft.PeerStatus) *wire.Membership {
+func (f Policy) NextChange(self *wire.Replica, others []raft.PeerStatus) *wire.Membership {
 	voters, centres := 1, map[string]int{self.GetDataCentre(): 1}
 	for _, o := range others {
 		if o.GetVoter() {
@@ -45,7 +45,7 @@
 			centres[o.GetDataCentre()]++
 		}
 	}
-	if voters > f.Voters() {
+	if voters > f.TargetVoters() {
 		return remove(worst(others, true))
 	}
 	if c := f.candidate(others, centres, voters); c != nil {
@@ -53,7 +53,7 @@
 			Replica: c.GetId(), Address: c.GetAddress(), DataCentre: c.GetDataCentre(), Role: wire.Membership_ROLE_VOTER,
 		}
 	}
-	if w := worst(others, false); w != nil && (w.Silence > f.Forget || replaced(*w, others)) {
+	if w := worst(others, false); w != nil && (w.Silence > f.RemoveLearnerAfter || replaced(*w, others)) {
 		return remove(w)
 	}
 	return nil
@@ -63,9 +63,9 @@
 // of one that stays away or whose disk was replaced. The group has one voter
 // too many until the next change removes that one. In this order a command is
 // always on as many disks as before.
-func (f Form) candidate(others []raft.PeerStatus, centres map[string]int, voters int) *raft.PeerStatus {
+func (f Policy) candidate(others []raft.PeerStatus, centres map[string]int, voters int) *raft.PeerStatus {
 	var away *raft.PeerStatus
-	if voters >= f.Voters() {
+	if voters >= f.TargetVoters() {
 		away = f.away(others)
 		if away == nil {
 			return nil
@@ -86,14 +86,14 @@
 
 // away is the voter to replace. One whose address has a learner with another
 // identity has lost its disk: it can't come back.
-func (f Form) away(others []raft.PeerStatus) *raft.PeerStatus {
+func (f Policy) away(others []raft.PeerStatus) *raft.PeerStatus {
 	w := worst(others, true)
 	for i, o := range others {
 		if o.GetVoter() && replaced(o, others) {
 			return &others[i]
 		}
 	}
-	if w == nil || w.Silence < f.Away {
+	if w == nil || w.Silence < f.ReplaceAfter {
 		return nil
 	}
 	return w
--- a/core/form/form_test.go
+++ b/core/repair/form_test.go
@@ -1,4 +1,4 @@
-package form
+package repair
 
 import (
 	"testing"
@@ -54,8 +54,8 @@
 		}, "ROLE_NONE d"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f := Form{Losses: tc.losses, Centres: 3, Away: 2 * time.Second, Forget: time.Minute}
-			m := f.Next(&wire.Replica{Id: "a", Address: "a", DataCentre: "z1", Voter: true}, tc.others)
+			f := Policy{MaxLosses: tc.losses, DataCentres: 3, ReplaceAfter: 2 * time.Second, RemoveLearnerAfter: time.Minute}
+			m := f.NextChange(&wire.Replica{Id: "a", Address: "a", DataCentre: "z1", Voter: true}, tc.others)
 			got := ""
 			if m != nil {
 				got = m.GetRole().String() + " " + m.GetReplica()
@@ -68,7 +68,7 @@
 // Where there are fewer data centres than would spread the voters, a group is
 // formed all the same.
 func TestFewDataCentres(t *testing.T) {
-	f := Form{Losses: 1, Centres: 1, Away: time.Second, Forget: time.Minute}
-	m := f.Next(&wire.Replica{Id: "a", DataCentre: "z1", Voter: true}, []raft.PeerStatus{replica("b", "b", "z1", learner, 0)})
+	f := Policy{MaxLosses: 1, DataCentres: 1, ReplaceAfter: time.Second, RemoveLearnerAfter: time.Minute}
+	m := f.NextChange(&wire.Replica{Id: "a", DataCentre: "z1", Voter: true}, []raft.PeerStatus{replica("b", "b", "z1", learner, 0)})
 	must.Eq(t, "b", m.GetReplica())
 }
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -32,11 +32,11 @@
 	if u.GetId() == "" || Stale(old, u) {
 		return false
 	}
-	if Reborn(old, u) {
+	if Restarted(old, u) {
 		r.gone = slices.DeleteFunc(r.gone, func(id string) bool { return id == u.GetId() })
 		old = nil
 	}
-	if old.GetState() > u.GetState() || Same(old, u) {
+	if old.GetState() > u.GetState() || Unchanged(old, u) {
 		return false
 	}
 	if r.ups == nil {
@@ -62,17 +62,17 @@
 // replaced reports whether something newer is known of an upstream, or nothing any more.
 func (r *Roster) replaced(u *wire.Upstream) bool { return r.ups[u.GetId()] != u }
 
-// Reborn reports whether a, heard of an upstream that is known as b, comes from a
+// Restarted reports whether a, heard of an upstream that is known as b, comes from a
 // later incarnation. The starts decide, as each incarnation tells its own; the
 // order in which announcements arrive, and their numbers, which begin anew, say
 // nothing. One that tells no start belongs to the incarnation that is known.
-func Reborn(b, a *wire.Upstream) bool { return b != nil && a.GetBorn() > b.GetBorn() }
+func Restarted(b, a *wire.Upstream) bool { return b != nil && a.GetBorn() > b.GetBorn() }
 
 // Stale reports whether a comes from an incarnation before the one known as b.
 func Stale(b, a *wire.Upstream) bool { return a.GetBorn() != 0 && a.GetBorn() < b.GetBorn() }
 
-// Same reports whether a tells nothing beyond what is known as b.
-func Same(b, a *wire.Upstream) bool {
+// Unchanged reports whether a tells nothing beyond what is known as b.
+func Unchanged(b, a *wire.Upstream) bool {
 	return b != nil && b.GetState() == a.GetState() && (a.GetAddress() == "" || b.GetAddress() == a.GetAddress()) &&
 		(a.GetPool() == "" || b.GetPool() == a.GetPool()) && (a.GetSlots() == 0 || b.GetSlots() == a.GetSlots())
 }
--- a/core/state/bench_test.go
+++ b/core/state/bench_test.go
@@ -35,7 +35,7 @@
 			var img []byte
 			for b.Loop() {
 				var err error
-				img, err = Encode(s.Image())
+				img, err = EncodeImage(s.Image())
 				must.NoError(b, err)
 				var t State
 				must.NoError(b, t.Load(img))
--- a/core/state/image.go
+++ b/core/state/image.go
@@ -26,10 +26,10 @@
 }
 
 // Save is Image and Encode in one, for a state that is at rest.
-func (s *State) Save() ([]byte, error) { return Encode(s.Image()) }
+func (s *State) Save() ([]byte, error) { return EncodeImage(s.Image()) }
 
-// Encode writes an image. Equal states give equal bytes.
-func Encode(img *wire.Image) ([]byte, error) {
+// EncodeImage writes an image. Equal states give equal bytes.
+func EncodeImage(img *wire.Image) ([]byte, error) {
 	slices.SortFunc(img.GetClaims(), func(a, b *wire.ClaimState) int {
 		return cmp.Or(cmp.Compare(a.GetAccount(), b.GetAccount()), cmp.Compare(a.GetKey(), b.GetKey()))
 	})
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -40,9 +40,9 @@
 // At 300 bytes each they stay within 128 MB.
 const MaxClaims = 400000
 
-// MaxChanges is how many change ids are remembered, so that a change sent
+// MaxChangeResults is how many change ids are remembered, so that a change sent
 // again gets the answer of the first time.
-const MaxChanges = 4096
+const MaxChangeResults = 4096
 
 type (
 	// State is the machine. Equal commands in equal order make equal states; it
@@ -96,11 +96,11 @@
 	return &wire.Result{Code: Invalid, Text: fmt.Sprintf("state: no such command %T", c.GetKind())}
 }
 
-// Judge checks the document of a change and writes the verdict into the
+// Validate checks the document of a change and writes the verdict into the
 // command. The leader does it once, before the command enters the log: replicas
 // of unlike program versions may judge a document differently, and their states
 // would part if each judged for itself.
-func Judge(c *wire.Command) {
+func Validate(c *wire.Command) {
 	k := c.GetChange()
 	if k == nil {
 		return
@@ -118,20 +118,20 @@
 // Version is the number of the configuration in force, zero before the first.
 func (s *State) Version() uint64 { return s.version }
 
-// Change is the id of the change in force.
-func (s *State) Change() string { return s.change }
+// ChangeID is the id of the change in force.
+func (s *State) ChangeID() string { return s.change }
 
 // Document is the set in force. The caller must not change it.
 func (s *State) Document() []byte { return s.document }
 
-// Clock is the highest leader's clock that the state has seen, in microseconds.
-func (s *State) Clock() int64 { return s.clock }
+// ClockUs is the highest leader's clock that the state has seen, in microseconds.
+func (s *State) ClockUs() int64 { return s.clock }
 
-// Due reports whether a finished claim's time is over at a leader's clock.
-func (s *State) Due(nowUs int64) bool { return len(s.ends) > 0 && s.ends[0].at <= nowUs }
+// HasExpiredClaims reports whether a finished claim's time is over at a leader's clock.
+func (s *State) HasExpiredClaims(nowUs int64) bool { return len(s.ends) > 0 && s.ends[0].at <= nowUs }
 
-// Claims is the number of claims remembered.
-func (s *State) Claims() int { return len(s.claims) }
+// ClaimCount is the number of claims remembered.
+func (s *State) ClaimCount() int { return len(s.claims) }
 
 // Publication is the published document of the highest version and its version,
 // zero before the first. The caller must not change it.
@@ -184,8 +184,8 @@
 	return held(old)
 }
 
-// Holder tells who holds a key, as a claim would be told; OK when no one does.
-func (s *State) Holder(account, key string) *wire.Result {
+// ClaimHolder tells who holds a key, as a claim would be told; OK when no one does.
+func (s *State) ClaimHolder(account, key string) *wire.Result {
 	c, ok := s.claims[claimKey{account, key}]
 	if !ok || c.GetOutcome() == NotRun {
 		return &wire.Result{Code: OK}
@@ -244,7 +244,7 @@
 }
 
 func (s *State) expire() *wire.Result {
-	for s.Due(s.clock) {
+	for s.HasExpiredClaims(s.clock) {
 		k := heap.Pop(&s.ends).(end).key
 		if c := s.claims[k]; c.GetExpiresUs() > 0 && c.GetExpiresUs() <= s.clock {
 			delete(s.claims, k)
@@ -265,7 +265,7 @@
 	}
 	s.results[id] = r
 	s.ids = append(s.ids, id)
-	if len(s.ids) > MaxChanges {
+	if len(s.ids) > MaxChangeResults {
 		delete(s.results, s.ids[0])
 		s.ids = s.ids[1:]
 	}
--- a/core/state/state_test.go
+++ b/core/state/state_test.go
@@ -101,9 +101,9 @@
 func TestLateFinishFreesNoOtherRequest(t *testing.T) {
 	var s State
 	must.Eq(t, []string{OK}, codes(&s, claim("e", 1)))
-	must.Eq(t, Running, s.Holder("a", "k").GetCode())
+	must.Eq(t, Running, s.ClaimHolder("a", "k").GetCode())
 	must.Eq(t, []string{OK}, codes(&s, finish("e", 1, NotRun, 0)))
-	must.Eq(t, OK, s.Holder("a", "k").GetCode())
+	must.Eq(t, OK, s.ClaimHolder("a", "k").GetCode())
 	must.Eq(t, []string{OK, Gone}, codes(&s, claim("e", 2), finish("e", 1, NotRun, 0)))
 	r := s.Apply(claim("other", 9))
 	must.Eq(t, Running, r.GetCode())
@@ -132,7 +132,7 @@
 	dead.GetClaim().NowUs = 1000
 	end := 1000 + time.Hour.Microseconds()
 	must.Eq(t, []string{OK, OK, Running, OK}, codes(&s, dead, expire(end-1), claim("other", 9), expire(end)))
-	must.Eq(t, 0, s.Claims())
+	must.Eq(t, 0, s.ClaimCount())
 	must.Eq(t, []string{OK}, codes(&s, claim("other", 9)))
 }
 
@@ -147,7 +147,7 @@
 	must.Eq(t, "ann", lost.GetWinner())
 	s.Apply(change("carl", 2, doc))
 	var after State
-	img, err := Encode(s.Image())
+	img, err := EncodeImage(s.Image())
 	must.NoError(t, err)
 	must.NoError(t, after.Load(img))
 	for _, m := range []*State{&s, &after} {
@@ -161,7 +161,7 @@
 func TestOverlayOfOneSiteIsChecked(t *testing.T) {
 	var s State
 	c := change("x", 0, `{"base":{"client-accounts":{},"tiers":{},"pools":{}},"overlays":{"south":{"tiers":{"t":{"level":9}}}}}`)
-	Judge(c)
+	Validate(c)
 	r := s.Apply(c)
 	must.Eq(t, Invalid, r.GetCode())
 	must.StrContains(t, r.GetText(), "south")
@@ -188,8 +188,8 @@
 			if a, b := whole.Apply(c), cut.Apply(c); !equal(a, b) {
 				t.Fatalf("%v and %v", a, b)
 			}
-			img, _ := Encode(cut.Image())
-			if all, _ := Encode(whole.Image()); !bytes.Equal(img, all) {
+			img, _ := EncodeImage(cut.Image())
+			if all, _ := EncodeImage(whole.Image()); !bytes.Equal(img, all) {
 				t.Fatal("images differ")
 			}
 			if err := cut.Load(img); err != nil {
@@ -205,7 +205,7 @@
 func TestClaimsAreBounded(t *testing.T) {
 	s := filled(MaxClaims)
 	must.Eq(t, Full, s.Apply(claim("e", 1)).GetCode())
-	must.Eq(t, MaxClaims, s.Claims())
+	must.Eq(t, MaxClaims, s.ClaimCount())
 	s.Apply(expire(1<<40 + 1))
 	must.Eq(t, OK, s.Apply(claim("e", 1)).GetCode())
 }
@@ -217,12 +217,12 @@
 	s.Apply(claim("e", 1))
 	s.Apply(change("c", 0, doc))
 	img := s.Image()
-	before, err := Encode(proto.CloneOf(img))
+	before, err := EncodeImage(proto.CloneOf(img))
 	must.NoError(t, err)
 	s.Apply(finish("e", 1, "whole", 5))
 	s.Apply(change("d", 1, doc))
 	s.Apply(expire(1 << 50))
-	after, err := Encode(img)
+	after, err := EncodeImage(img)
 	must.NoError(t, err)
 	must.True(t, bytes.Equal(before, after))
 }
--- a/io/ctrl/apply.go
+++ b/io/ctrl/apply.go
@@ -45,10 +45,10 @@
 }
 
 func (k *clock) read(s *state.State, now time.Time) int64 {
-	if us := k.base + now.Sub(k.at).Microseconds(); !k.at.IsZero() && us >= s.Clock() {
+	if us := k.base + now.Sub(k.at).Microseconds(); !k.at.IsZero() && us >= s.ClockUs() {
 		return us
 	}
-	k.base, k.at = max(s.Clock(), 1), now // Zero would be no time at all.
+	k.base, k.at = max(s.ClockUs(), 1), now // Zero would be no time at all.
 	return k.base
 }
 
@@ -107,7 +107,7 @@
 	c.saving = ch
 	go func() {
 		s := saved{snap: snap}
-		snap.Data, s.err = state.Encode(img)
+		snap.Data, s.err = state.EncodeImage(img)
 		if s.err == nil {
 			s.put, s.err = c.store.Prepare(snap)
 		}
--- a/io/ctrl/batch.go
+++ b/io/ctrl/batch.go
@@ -111,7 +111,7 @@
 	if time.Now().Before(c.retry) || c.unkept.install != nil {
 		return false
 	}
-	if c.applied >= c.snapped+uint64(max(CompactAfter, c.state.Claims())) { //nolint:gosec // Not negative.
+	if c.applied >= c.snapped+uint64(max(CompactAfter, c.state.ClaimCount())) { //nolint:gosec // Not negative.
 		return true
 	}
 	return c.size > max(CompactSize, 2*c.snapSize) && c.applied > c.snapped
@@ -180,7 +180,7 @@
 		return
 	}
 	c.expire = now.Add(expireEvery)
-	if us := c.clock.read(&c.state, now); c.state.Due(us) || us-c.state.Clock() > clockEvery.Microseconds() {
+	if us := c.clock.read(&c.state, now); c.state.HasExpiredClaims(us) || us-c.state.ClockUs() > clockEvery.Microseconds() {
 		b.props = append(b.props, &proposal{
 			cmd: &wire.Command{Kind: &wire.Command_Expire{Expire: &wire.Expire{}}}, done: make(chan answer, 1),
 		})
--- a/io/ctrl/handle.go
+++ b/io/ctrl/handle.go
@@ -54,7 +54,7 @@
 	// A caller that gave up may send the same message again while the first copy
 	// still waits here, so each proposal has its own.
 	cmd = proto.CloneOf(cmd)
-	state.Judge(cmd)
+	state.Validate(cmd)
 	p := &proposal{cmd: cmd, member: cmd.GetMembership(), done: make(chan answer, 1)}
 	if cmd.GetExpire() != nil {
 		return nil, &wire.Fault{Code: leader.Refused, Text: "ctrl: only the leader expires claims"}
@@ -99,7 +99,7 @@
 // replica could miss a claim and call a key free that has run.
 func (c *Ctrl) holder(ctx context.Context, q *wire.ClaimQuery) (*wire.Result, error) {
 	var r *wire.Result
-	err := c.leased(ctx, func(time.Time) { r = c.state.Holder(q.GetAccount(), q.GetKey()) })
+	err := c.leased(ctx, func(time.Time) { r = c.state.ClaimHolder(q.GetAccount(), q.GetKey()) })
 	return r, err
 }
 
--- a/io/ctrl/view.go
+++ b/io/ctrl/view.go
@@ -46,8 +46,8 @@
 	v.heard = v.heard && !c.raft.BehindLeader()
 	v.Replica, v.Address, v.Identity, v.DataCentre = c.Name, c.Address.String(), c.id, c.Centre
 	v.Leader, v.Term, v.Commit = c.addressOf(c.raft.Leader()), c.raft.Term(), c.applied
-	v.Version, v.Change, v.Document = c.state.Version(), c.state.Change(), c.state.Document()
-	v.Claims, v.Group, v.Bootstrap = uint64(c.state.Claims()), c.raft.Group(), c.Bootstrap //nolint:gosec // Not negative.
+	v.Version, v.Change, v.Document = c.state.Version(), c.state.ChangeID(), c.state.Document()
+	v.Claims, v.Group, v.Bootstrap = uint64(c.state.ClaimCount()), c.raft.Group(), c.Bootstrap //nolint:gosec // Not negative.
 	v.Replicas, v.peers = c.raft.Replicas(), c.raft.Peers(now)
 	v.leads, v.CutOff = c.raft.IsLeader(), c.raft.CutOff(now)
 	if v.GetCutOff() {
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -18,7 +18,7 @@
 	"azurelane/core/conf"
 	"azurelane/core/kernel"
 	"azurelane/core/wire"
-	"azurelane/io/abroad"
+	"azurelane/io/remote"
 	"azurelane/io/admin"
 	"azurelane/io/certs"
 	"azurelane/io/client"
@@ -30,7 +30,7 @@
 	"azurelane/io/lease"
 	"azurelane/io/member"
 	"azurelane/io/mesh"
-	"azurelane/io/notice"
+	"azurelane/io/relay"
 	"azurelane/io/owner"
 	"azurelane/io/sched"
 	"azurelane/io/setup"
@@ -50,10 +50,10 @@
 	sched  *sched.Sched
 	member *member.Member
 	owner  *owner.Owner
-	notice *notice.Notice
-	abroad abroad.Abroad
+	notice *relay.Relay
+	abroad remote.Directory
 	grant  *grant.Grant
-	follow *follow.Follow
+	follow *follow.Follower
 	stats  *stats.Stats
 	client *client.Client
 	sup    *suture.Supervisor
@@ -100,15 +100,15 @@
 		Seeds: set.Seeds, Sender: e.mesh, Lost: e.owner.Forget, Changed: e.changed, Log: log.WithName("member"),
 	}
 	control := &leader.Leader{Replicas: set.Control, Caller: e.mesh}
-	e.follow = &follow.Follow{
-		Site: set.DataCentre, Beat: e.beat, Replicas: set.Control, Neighbours: e.neighbours, Met: e.abroad.Met, Caller: e.mesh,
+	e.follow = &follow.Follower{
+		DataCentre: set.DataCentre, NewBeat: e.beat, Replicas: set.Control, Neighbours: e.neighbours, OnRemoteEntries: e.abroad.Update, Caller: e.mesh,
 		Install: func(_ uint64, cfg *conf.Config) { e.sched.Install(cfg) }, Log: log.WithName("follow"),
 	}
 	e.grant = &grant.Grant{
 		Self: set.Node, Incarnation: incarnation, Local: desk{e.owner, e.sched}, Members: e, Mesh: e.mesh, Abroad: e.farEntries, Log: log.WithName("grant"),
 	}
-	e.notice = &notice.Notice{
-		Owners: e.owners, Alive: e.member.Alive, Mesh: e.mesh, Take: e.sched.Announce, Log: log.WithName("notice"),
+	e.notice = &relay.Relay{
+		Owners: e.owners, Alive: e.member.Alive, Mesh: e.mesh, Deliver: e.sched.Announce, Log: log.WithName("notice"),
 	}
 	e.front = &front.Front{
 		Node: set.Node, Incarnation: incarnation, Address: set.Peers.String(), Config: e.follow.Config,
--- a/io/entry/handle.go
+++ b/io/entry/handle.go
@@ -50,7 +50,7 @@
 	e.owner.Changed()
 	ctx, cancel := context.WithTimeout(context.Background(), passLimit)
 	defer cancel()
-	e.notice.Changed(ctx)
+	e.notice.SendToNewOwners(ctx)
 	e.grant.Changed()
 }
 
--- a/io/follow/follow.go
+++ b/io/follow/follow.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// BeatEvery is the interval at which an entry asks for a newer configuration.
+	// BeatInterval is the interval at which an entry asks for a newer configuration.
 	// With it a change is in force about a second after it was accepted.
-	BeatEvery = time.Second
-	// AnswerLimit is how long one replica may take. A silent one costs a beat
+	BeatInterval = time.Second
+	// CallTimeout is how long one replica may take. A silent one costs a beat
 	// no more than that before the next is asked.
-	AnswerLimit = 700 * time.Millisecond
+	CallTimeout = 700 * time.Millisecond
 	// firstNeighbours are asked by an entry that has nothing in force.
 	firstNeighbours = 3
 	// firstWait is how long such an entry looks for a replica that is surely up
@@ -35,18 +35,18 @@
 var errStale = errors.New("follow: replica may be behind")
 
 type (
-	// Follow beats at one control replica as long as that one is up to date, and
+	// Follower beats at one control replica as long as that one is up to date, and
 	// else at the next. It installs only higher versions, so that no answer,
 	// whoever gives it, can bring an old one back. While no replica is up to date
 	// it asks neighbours, so that an entry that is cut off from control, or has
 	// just started, still learns what another entry of its data centre has. Its
 	// exported fields are set before Serve is called.
-	Follow struct {
-		Site       string
-		Beat       func() *wire.Beat
+	Follower struct {
+		DataCentre       string
+		NewBeat       func() *wire.Beat
 		Replicas   []netip.AddrPort
 		Neighbours func() []netip.AddrPort // Peer addresses of other entries; nil for none.
-		Met        func([]*wire.Member)    // Takes the entries of other data centres that control names; nil for none.
+		OnRemoteEntries        func([]*wire.Member)    // Takes the entries of other data centres that control names; nil for none.
 		Caller     caller
 		Install    func(version uint64, cfg *conf.Config)
 		Log        logr.Logger
@@ -70,11 +70,11 @@
 )
 
 // Serve beats until ctx ends.
-func (f *Follow) Serve(ctx context.Context) error {
+func (f *Follower) Serve(ctx context.Context) error {
 	// Each entry starts with another replica, so that all carry their part.
 	f.next = rand.IntN(max(len(f.Replicas), 1)) //nolint:gosec // It spreads load; no secret.
 	f.began = time.Now()
-	tick := time.NewTicker(BeatEvery)
+	tick := time.NewTicker(BeatInterval)
 	defer tick.Stop()
 	for {
 		f.once(ctx)
@@ -87,7 +87,7 @@
 }
 
 // Config returns what is in force, or nil before the first version is known.
-func (f *Follow) Config() *conf.Config {
+func (f *Follower) Config() *conf.Config {
 	if now := f.now.Load(); now != nil {
 		return now.cfg
 	}
@@ -95,7 +95,7 @@
 }
 
 // Version returns the version in force, zero before the first.
-func (f *Follow) Version() uint64 {
+func (f *Follower) Version() uint64 {
 	if now := f.now.Load(); now != nil {
 		return now.version
 	}
@@ -103,7 +103,7 @@
 }
 
 // Answer tells a neighbour what is in force here, if that is newer.
-func (f *Follow) Answer(q *wire.ConfigQuery) *wire.BeatReply {
+func (f *Follower) Answer(q *wire.ConfigQuery) *wire.BeatReply {
 	r := &wire.BeatReply{Version: f.Version()}
 	if now := f.now.Load(); now != nil && now.version > q.GetVersion() {
 		r.Document = now.doc
@@ -115,7 +115,7 @@
 // offer that may be behind is taken only when none is: an entry that has just
 // started would else serve an old version for a moment, and its site would have
 // gone back to it.
-func (f *Follow) once(ctx context.Context) {
+func (f *Follower) once(ctx context.Context) {
 	var err error
 	var best *wire.BeatReply
 	for range f.Replicas {
@@ -149,15 +149,15 @@
 }
 
 // beat returns errStale with the answer of a replica that may be behind.
-func (f *Follow) beat(ctx context.Context, to netip.AddrPort) (*wire.BeatReply, error) {
-	b := f.Beat()
+func (f *Follower) beat(ctx context.Context, to netip.AddrPort) (*wire.BeatReply, error) {
+	b := f.NewBeat()
 	b.Version = f.Version()
 	r, err := f.call(ctx, to, &wire.Frame{Body: &wire.Frame_Beat{Beat: b}})
 	if err != nil {
 		return nil, err
 	}
-	if f.Met != nil {
-		f.Met(r.GetNeighbours())
+	if f.OnRemoteEntries != nil {
+		f.OnRemoteEntries(r.GetNeighbours())
 	}
 	if r.GetStale() || r.GetVersion() < b.GetVersion() {
 		return r, fmt.Errorf("%w: %s", errStale, to)
@@ -167,7 +167,7 @@
 
 // askNeighbours asks one neighbour a beat, in turn, and a few at once as long as
 // nothing is in force here. It returns the newest answer, or nil.
-func (f *Follow) askNeighbours(ctx context.Context) *wire.BeatReply {
+func (f *Follower) askNeighbours(ctx context.Context) *wire.BeatReply {
 	if f.Neighbours == nil {
 		return nil
 	}
@@ -191,8 +191,8 @@
 }
 
 // call asks a peer for a newer document.
-func (f *Follow) call(ctx context.Context, to netip.AddrPort, q *wire.Frame) (*wire.BeatReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, AnswerLimit)
+func (f *Follower) call(ctx context.Context, to netip.AddrPort, q *wire.Frame) (*wire.BeatReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	defer cancel()
 	r, err := f.Caller.Call(ctx, to, q)
 	if err != nil {
@@ -202,7 +202,7 @@
 }
 
 // note logs when control is lost and found again, and not each beat.
-func (f *Follow) note(err error) {
+func (f *Follower) note(err error) {
 	if lost := err != nil; lost != f.lost {
 		f.lost = lost
 		if lost {
@@ -213,7 +213,7 @@
 	}
 }
 
-func (f *Follow) take(r *wire.BeatReply) error {
+func (f *Follower) take(r *wire.BeatReply) error {
 	if r.GetVersion() <= f.Version() || len(r.GetDocument()) == 0 {
 		return nil
 	}
@@ -221,7 +221,7 @@
 	if err != nil {
 		return fmt.Errorf("follow: version %d: %w", r.GetVersion(), err)
 	}
-	cfg, err := set.For(f.Site)
+	cfg, err := set.For(f.DataCentre)
 	if err != nil {
 		return fmt.Errorf("follow: version %d: %w", r.GetVersion(), err)
 	}
--- a/io/follow/follow_test.go
+++ b/io/follow/follow_test.go
@@ -65,12 +65,12 @@
 }
 
 // follower starts an entry with replicas 1 to 3 and neighbours 8 and 9.
-func follower(t *testing.T, peers map[netip.AddrPort]*fake) (*Follow, *fakes, func() []uint64) {
+func follower(t *testing.T, peers map[netip.AddrPort]*fake) (*Follower, *fakes, func() []uint64) {
 	p := &fakes{peers: peers, calls: map[netip.AddrPort]int{}}
 	var mu sync.Mutex
 	var installed []uint64
-	f := &Follow{
-		Beat: func() *wire.Beat { return &wire.Beat{Node: "entry-1"} }, Caller: p, Log: logr.Discard(),
+	f := &Follower{
+		NewBeat: func() *wire.Beat { return &wire.Beat{Node: "entry-1"} }, Caller: p, Log: logr.Discard(),
 		Replicas: []netip.AddrPort{addr(1), addr(2), addr(3)}, Neighbours: func() []netip.AddrPort { return []netip.AddrPort{addr(8), addr(9)} },
 		Install: func(v uint64, _ *conf.Config) {
 			mu.Lock()
--- a/io/form/form.go
+++ b/io/form/form.go
@@ -10,7 +10,7 @@
 
 	"github.com/go-logr/logr"
 
-	"azurelane/core/form"
+	"azurelane/core/repair"
 	"azurelane/core/raft"
 	"azurelane/core/wire"
 )
@@ -25,7 +25,7 @@
 type (
 	// Form is the service of one control replica. Its fields are set before use.
 	Form struct {
-		form.Form
+		repair.Policy
 		Self    netip.AddrPort
 		Centre  string
 		Replica replica
@@ -91,7 +91,7 @@
 	if self == nil {
 		return nil
 	}
-	m := f.Next(self, peers)
+	m := f.NextChange(self, peers)
 	if m == nil {
 		return nil
 	}
--- a/io/form/form_test.go
+++ b/io/form/form_test.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 	"github.com/shoenig/test/must"
 
-	"azurelane/core/form"
+	"azurelane/core/repair"
 	"azurelane/core/raft"
 	"azurelane/core/wire"
 )
@@ -90,7 +90,7 @@
 			name: "g", leads: true, all: []*wire.Replica{{Id: "me", Voter: true}}, err: errors.New("busy"),
 			peers: []raft.PeerStatus{{Replica: &wire.Replica{Id: "b", DataCentre: "z2"}, CaughtUp: true}},
 		}
-		f := &Form{Form: form.Form{Losses: 1, Centres: 3, Away: time.Second, Forget: time.Minute}, Replica: g, Leader: g, Log: logr.Discard()}
+		f := &Form{Policy: repair.Policy{MaxLosses: 1, DataCentres: 3, ReplaceAfter: time.Second, RemoveLearnerAfter: time.Minute}, Replica: g, Leader: g, Log: logr.Discard()}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		must.ErrorIs(t, f.Serve(ctx), context.DeadlineExceeded)
--- a/io/front/fake_test.go
+++ b/io/front/fake_test.go
@@ -153,7 +153,7 @@
 		return nil, errDown
 	}
 	q := build().GetClaimQuery()
-	return &wire.Frame{Body: &wire.Frame_Result{Result: c.state.Holder(q.GetAccount(), q.GetKey())}}, nil
+	return &wire.Frame{Body: &wire.Frame_Result{Result: c.state.ClaimHolder(q.GetAccount(), q.GetKey())}}, nil
 }
 
 func (c *control) setHook(hook func(*wire.Command) loss) {
--- a/io/gated/gated.go
+++ b/io/gated/gated.go
@@ -57,7 +57,7 @@
 	settings   *local.Local
 	log        logr.Logger
 	gate       *gate.Gate
-	watch      *watch.Watch
+	watch      *watch.Watcher
 	grant      *grant.Grant
 	mesh       *mesh.Mesh
 	client     *client.Client
@@ -80,20 +80,20 @@
 	metrics := stats.New()
 	metrics.Runtime()
 	e.mesh = &mesh.Mesh{Listen: lns[0], Self: settings.Peers, Handle: rejectFrame, Log: log.WithName("mesh")}
-	e.watch = &watch.Watch{
-		Node: settings.Node, Incarnation: incarnation, Centre: settings.Centre, Self: settings.Peers, Seeds: e.seeds, Mesh: e.mesh,
+	e.watch = &watch.Watcher{
+		Node: settings.Node, Incarnation: incarnation, DataCentre: settings.Centre, PeerAddress: settings.Peers, Seeds: e.seeds, Mesh: e.mesh,
 		Parse: parseConfig, Log: log.WithName("watch"),
 	}
 	e.grant = &grant.Grant{
 		Self: settings.Node, Incarnation: incarnation, Local: noLocalScheduler{}, Members: e.watch, Mesh: e.mesh, Log: log.WithName("grant"),
 	}
-	e.watch.Changed, e.watch.Rates = e.grant.Changed, g.UsageRates
-	e.watch.Crashes, e.watch.Banned = g.KnownCrashes, g.SetBans
-	e.watch.Limits, e.watch.Limited = g.KnownLimits, g.SetLimits
+	e.watch.OnSchedulerChange, e.watch.Usage = e.grant.Changed, g.UsageRates
+	e.watch.Crashes, e.watch.OnBans = g.KnownCrashes, g.SetBans
+	e.watch.Limits, e.watch.OnLimits = g.KnownLimits, g.SetLimits
 	g.Node, g.Incarnation, g.DataCentre = settings.Node, incarnation, settings.Centre
 	g.Cluster, g.Granter, g.Sender, g.Prober, g.Trier, g.Stats, g.Log = e.watch, e.grant, e.client, e.client, e, metrics, e.log
 	metrics.Pull("configuration-version", func() int64 { return int64(e.watch.View().Version) }) //nolint:gosec // Versions are small.
-	metrics.Pull("configuration-age-ms", func() int64 { return time.Since(e.watch.View().Heard).Milliseconds() })
+	metrics.Pull("configuration-age-ms", func() int64 { return time.Since(e.watch.View().LastHeard).Milliseconds() })
 	metrics.Pull("scheduler-known", func() int64 {
 		if e.watch.Owner("") != nil {
 			return 1
--- a/io/hub/upstreams.go
+++ b/io/hub/upstreams.go
@@ -63,7 +63,7 @@
 	if roster.Stale(known, u) {
 		return nil
 	}
-	restarted := roster.Reborn(known, u)
+	restarted := roster.Restarted(known, u)
 	if restarted {
 		s.limits.drop(u.GetId())
 	}
@@ -77,7 +77,7 @@
 	} else if !s.upstreams.recordReport(time.Now(), u, rep.GetSeq(), known) {
 		return nil
 	}
-	if restarted || (!roster.Same(known, u) && known.GetState() <= u.GetState()) {
+	if restarted || (!roster.Unchanged(known, u) && known.GetState() <= u.GetState()) {
 		cmd := &wire.Command{Kind: &wire.Command_Enroll{Enroll: &wire.Enroll{Upstream: u}}}
 		if _, err := h.Replica.Propose(ctx, cmd); err != nil {
 			return err
@@ -105,7 +105,7 @@
 	if !s.upstreams.recordReport(time.Now(), u, rep.GetSeq(), known) {
 		return false
 	}
-	if roster.Same(known, u) && !roster.Reborn(known, u) {
+	if roster.Unchanged(known, u) && !roster.Restarted(known, u) {
 		h.announce(s, known, leaseIntervals)
 		return true
 	}
@@ -141,7 +141,7 @@
 
 // recordReport records a report and returns whether it is the newest of its upstream.
 func (t *upstreamTable) recordReport(now time.Time, u *wire.Upstream, seq uint64, known *wire.Upstream) bool {
-	if known.GetState() == wire.Upstream_STATE_GONE && !roster.Reborn(known, u) {
+	if known.GetState() == wire.Upstream_STATE_GONE && !roster.Restarted(known, u) {
 		return false
 	}
 	t.mu.Lock()
--- a/io/hubd/hubd.go
+++ b/io/hubd/hubd.go
@@ -16,7 +16,7 @@
 	"github.com/thejerf/suture/v4"
 
 	"azurelane/core/conf"
-	coreform "azurelane/core/form"
+	coreform "azurelane/core/repair"
 	"azurelane/io/admin"
 	"azurelane/io/ctrl"
 	"azurelane/io/form"
@@ -96,11 +96,11 @@
 	metrics.Runtime()
 	m := &mesh.Mesh{Listen: peers, Self: settings.Peers, Log: d.log.WithName("mesh")}
 	toLeader := &leader.Leader{Replicas: d.replicas(), Caller: m}
-	group := coreform.Form{
-		Losses: settings.Losses, Centres: len(settings.Centres), Away: time.Duration(voterAwayShare * float64(settings.CatchUp)), Forget: learnerForgetAfter,
+	group := coreform.Policy{
+		MaxLosses: settings.Losses, DataCentres: len(settings.Centres), ReplaceAfter: time.Duration(voterAwayShare * float64(settings.CatchUp)), RemoveLearnerAfter: learnerForgetAfter,
 	}
 	h := &hub.Hub{
-		Replica: d.ctrl, LeaderClient: toLeader, DataCentre: settings.Centre, Parse: parse, Voters: group.Voters(),
+		Replica: d.ctrl, LeaderClient: toLeader, DataCentre: settings.Centre, Parse: parse, Voters: group.TargetVoters(),
 		AnnounceInterval: settings.Announce, Overage: settings.Overage, QuotaSlack: settings.QuotaSlack, Stats: metrics, Log: d.log, RefusalLog: logs.Budget{Most: maxRefusalLogLines},
 	}
 	h.RegisterGauges()
@@ -113,7 +113,7 @@
 	d.front = &httpd.Httpd{Listen: front, Handler: calls(h), DrainOpen: drainOpenTime}
 	for _, s := range []suture.Service{
 		m, d.ctrl, h,
-		&form.Form{Form: group, Self: settings.Peers, Centre: settings.Centre, Replica: d.ctrl, Leader: toLeader, Log: d.log.WithName("form")},
+		&form.Form{Policy: group, Self: settings.Peers, Centre: settings.Centre, Replica: d.ctrl, Leader: toLeader, Log: d.log.WithName("form")},
 	} {
 		d.sup.Add(s)
 	}
--- a/io/notice/notice.go
+++ b/io/relay/notice.go
@@ -1,6 +1,6 @@
 // Package notice passes the announcements of upstreams on to the owners of
 // their pools.
-package notice
+package relay
 
 import (
 	"context"
@@ -22,13 +22,13 @@
 )
 
 type (
-	// Notice keeps the last announcement of each upstream that spoke to this
+	// Relay keeps the last announcement of each upstream that spoke to this
 	// process. Its exported fields are set before use.
-	Notice struct {
+	Relay struct {
 		Owners func(pool string) []*wire.Member // Of one pool; several for a local policy.
 		Alive  func() []*wire.Member
 		Mesh   caller
-		Take   func(*wire.Announce) // The schedulers of this process.
+		Deliver   func(*wire.Announce) // The schedulers of this process.
 		Log    logr.Logger
 
 		mu   sync.Mutex
@@ -51,7 +51,7 @@
 
 // Forward takes what an upstream said over HTTP. An error means that an owner
 // did not get it; the upstream then asks another entry.
-func (n *Notice) Forward(ctx context.Context, a *wire.Announce) error {
+func (n *Relay) Forward(ctx context.Context, a *wire.Announce) error {
 	a = n.keep(a)
 	ctx, cancel := context.WithTimeout(ctx, forwardLimit)
 	defer cancel()
@@ -67,11 +67,11 @@
 }
 
 // Accept takes an announcement that this process should know as an owner.
-func (n *Notice) Accept(a *wire.Announce) { n.Take(n.stick(a)) }
+func (n *Relay) Accept(a *wire.Announce) { n.Deliver(n.stick(a)) }
 
 // Find returns the last announcement that an upstream made here, or nil when
 // there is none or its lease is over.
-func (n *Notice) Find(upstream string) *wire.Announce {
+func (n *Relay) Find(upstream string) *wire.Announce {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := n.last[upstream]
@@ -81,10 +81,10 @@
 	return s.Announce
 }
 
-// Changed passes what is known on to owners that are new, so that they don't
+// SendToNewOwners passes what is known on to owners that are new, so that they don't
 // wait for each upstream to speak again. A lease is passed on with what is left
 // of it: the age of the news must not lengthen it.
-func (n *Notice) Changed(ctx context.Context) {
+func (n *Relay) SendToNewOwners(ctx context.Context) {
 	now := time.Now()
 	for owner, list := range n.news(now) {
 		for _, a := range list {
@@ -96,7 +96,7 @@
 }
 
 // news lists for each new owner the announcements that it lacks.
-func (n *Notice) news(now time.Time) map[string][]*wire.Announce {
+func (n *Relay) news(now time.Time) map[string][]*wire.Announce {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := map[string][]*wire.Announce{}
@@ -123,7 +123,7 @@
 	return out
 }
 
-func (n *Notice) keep(a *wire.Announce) *wire.Announce {
+func (n *Relay) keep(a *wire.Announce) *wire.Announce {
 	a = n.stick(a)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -142,7 +142,7 @@
 // stick makes leaving final for an incarnation. A "serving" that was delayed,
 // or came by another entry, would otherwise bring work to an upstream that is
 // about to end; whoever does come back has a new incarnation.
-func (n *Notice) stick(a *wire.Announce) *wire.Announce {
+func (n *Relay) stick(a *wire.Announce) *wire.Announce {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.left == nil {
@@ -167,7 +167,7 @@
 // pass sends to each owner of the upstream's pools, all at a time; to all
 // members when it leaves, since any of them may hold its older announcement and
 // pass that on to a new owner.
-func (n *Notice) pass(ctx context.Context, a *wire.Announce) error {
+func (n *Relay) pass(ctx context.Context, a *wire.Announce) error {
 	must, may := map[string]bool{}, map[string]bool{}
 	for _, p := range a.GetPools() {
 		for _, o := range n.Owners(p) {
@@ -200,7 +200,7 @@
 	return first
 }
 
-func (n *Notice) call(ctx context.Context, to string, a *wire.Announce) error {
+func (n *Relay) call(ctx context.Context, to string, a *wire.Announce) error {
 	addr, err := netip.ParseAddrPort(to)
 	if err != nil {
 		return fmt.Errorf("address of owner: %w", err)
--- a/io/notice/notice_test.go
+++ b/io/relay/notice_test.go
@@ -1,4 +1,4 @@
-package notice
+package relay
 
 import (
 	"context"
@@ -39,12 +39,12 @@
 	return &wire.Frame{}, nil
 }
 
-func (f *fake) notice() *Notice {
+func (f *fake) notice() *Relay {
 	f.got, f.dead = map[string][]*wire.Announce{}, map[string]bool{}
-	return &Notice{
+	return &Relay{
 		Owners: func(string) []*wire.Member { return []*wire.Member{f.owner} },
 		Alive:  func() []*wire.Member { return []*wire.Member{bob, carol} },
-		Mesh:   f, Take: func(a *wire.Announce) { f.got["here"] = append(f.got["here"], a) },
+		Mesh:   f, Deliver: func(a *wire.Announce) { f.got["here"] = append(f.got["here"], a) },
 	}
 }
 
@@ -99,10 +99,10 @@
 		must.NoError(t, n.Forward(t.Context(), old))
 		time.Sleep(time.Millisecond)
 		f.owner = carol
-		n.Changed(t.Context())
+		n.SendToNewOwners(t.Context())
 		must.Len(t, 1, f.got[carol.GetAddress()])
 		must.Eq(t, 999_000, f.got[carol.GetAddress()][0].GetLeaseUs())
-		n.Changed(t.Context())
+		n.SendToNewOwners(t.Context())
 		must.Len(t, 1, f.got[carol.GetAddress()]) // Not new any more.
 	})
 }
--- a/io/abroad/abroad.go
+++ b/io/remote/abroad.go
@@ -1,6 +1,6 @@
 // Package abroad keeps a few entries of each other data centre, by which a
 // ticket can reach the owners there.
-package abroad
+package remote
 
 import (
 	"net/netip"
@@ -9,16 +9,16 @@
 	"azurelane/core/wire"
 )
 
-// Abroad holds what control last told. It outlives control: while no replica
+// Directory holds what control last told. It outlives control: while no replica
 // answers, the last entries stay. The zero value knows none.
-type Abroad struct {
+type Directory struct {
 	mu   sync.Mutex
 	list map[string][]netip.AddrPort
 }
 
-// Met takes the entries that control names; an answer that names none, as most
+// Update takes the entries that control names; an answer that names none, as most
 // do for the sake of bytes, changes nothing.
-func (a *Abroad) Met(list []*wire.Member) {
+func (a *Directory) Update(list []*wire.Member) {
 	if len(list) == 0 {
 		return
 	}
@@ -34,7 +34,7 @@
 }
 
 // Entries returns the known entries of some data centres, in that order.
-func (a *Abroad) Entries(centres []string) []netip.AddrPort {
+func (a *Directory) Entries(centres []string) []netip.AddrPort {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var out []netip.AddrPort
--- a/io/watch/find.go
+++ b/io/watch/find.go
@@ -53,7 +53,7 @@
 //
 // Where only replicas of this data centre answer and one of them says that it is cut
 // off, that one is to be followed. While others answer there will be a leader.
-func (w *Watch) find(ctx context.Context) found {
+func (w *Watcher) find(ctx context.Context) found {
 	list := w.known()
 	ctx, cancel := context.WithTimeout(ctx, findLimit)
 	defer cancel()
@@ -108,7 +108,7 @@
 }
 
 // known lists the replicas to ask.
-func (w *Watch) known() []netip.AddrPort {
+func (w *Watcher) known() []netip.AddrPort {
 	w.mu.Lock()
 	list := slices.Clone(w.replicas)
 	w.mu.Unlock()
@@ -121,7 +121,7 @@
 }
 
 // leader is who leads by the word of one replica; invalid where it knows none.
-func (w *Watch) leader(ctx context.Context, to netip.AddrPort) word {
+func (w *Watcher) leader(ctx context.Context, to netip.AddrPort) word {
 	f, err := w.Mesh.Call(ctx, to, &wire.Frame{Body: &wire.Frame_StatusQuery{StatusQuery: &wire.StatusQuery{}}})
 	if err != nil {
 		w.Log.V(1).Info("Control replica not reached.", "address", to.String(), "err", err.Error())
@@ -132,14 +132,14 @@
 	if a, err := netip.ParseAddrPort(s.GetLeader()); err == nil {
 		return word{found: found{addr: a}}
 	}
-	elsewhere := s.GetDataCentre() != w.Centre
+	elsewhere := s.GetDataCentre() != w.DataCentre
 	if s.GetCutOff() && !elsewhere {
 		return word{found: found{to, true}}
 	}
 	return word{elsewhere: elsewhere}
 }
 
-func (w *Watch) learn(list []*wire.Replica) {
+func (w *Watcher) learn(list []*wire.Replica) {
 	var addrs []string
 	for _, r := range list {
 		addrs = append(addrs, r.GetAddress())
@@ -147,7 +147,7 @@
 	w.learnAddrs(addrs)
 }
 
-func (w *Watch) learnAddrs(list []string) {
+func (w *Watcher) learnAddrs(list []string) {
 	var all []netip.AddrPort
 	for _, s := range list {
 		if a, err := netip.ParseAddrPort(s); err == nil {
--- a/io/watch/probe.go
+++ b/io/watch/probe.go
@@ -34,7 +34,7 @@
 // whether it lives, and takes it for lost when it doesn't say so: tickets would
 // wait there for as long as the link takes to be given up, seconds, while their
 // objectives are some hundred milliseconds.
-func (w *Watch) Doubt(ctx context.Context) {
+func (w *Watcher) Doubt(ctx context.Context) {
 	w.mu.Lock()
 	m := w.View().Owner
 	if m == nil || time.Since(w.probed) < probeEvery {
@@ -59,7 +59,7 @@
 }
 
 // probe asks the scheduler whether it lives and notes how long the answer took.
-func (w *Watch) probe(ctx context.Context, to netip.AddrPort) error {
+func (w *Watcher) probe(ctx context.Context, to netip.AddrPort) error {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, w.patience())
 	defer cancel()
@@ -74,7 +74,7 @@
 }
 
 // patience is how long the answer to a probe may take.
-func (w *Watch) patience() time.Duration {
+func (w *Watcher) patience() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.answered < keepAnswers {
@@ -84,7 +84,7 @@
 }
 
 // measure learns how long the scheduler takes to answer while all is well.
-func (w *Watch) measure(ctx context.Context, to netip.AddrPort) {
+func (w *Watcher) measure(ctx context.Context, to netip.AddrPort) {
 	if err := w.probe(ctx, to); err != nil {
 		w.Log.V(1).Info("Scheduler not measured.", "err", err.Error())
 	}
--- a/io/watch/view.go
+++ b/io/watch/view.go
@@ -14,7 +14,7 @@
 type View struct {
 	Version   uint64
 	Index     *index.Index // Nil before the first configuration.
-	Since     time.Time    // When the configuration came into force here.
+	InstalledAt     time.Time    // When the configuration came into force here.
 	Revision  uint64
 	Upstreams map[string][]*wire.Upstream // Serving ones, by pool.
 	Silent    map[string]bool             // Upstreams that control doesn't hear.
@@ -22,7 +22,7 @@
 	Isolated  bool                        // This entry's own data centre does.
 	Entries   int                         // That share the limits of all.
 	Owner     *wire.Member                // The scheduler of all pools, nil for none.
-	Heard     time.Time                   // When the owner last answered.
+	LastHeard     time.Time                   // When the owner last answered.
 
 	roster map[string]*wire.Upstream
 	bans   uint64 // Revision of the bans that the owner has told.
--- a/io/watch/watch.go
+++ b/io/watch/watch.go
@@ -40,26 +40,26 @@
 )
 
 type (
-	// Watch is the service of one entry. Its exported fields are set before
+	// Watcher is the service of one entry. Its exported fields are set before
 	// Serve is called.
-	Watch struct {
+	Watcher struct {
 		Node        string
 		Incarnation string
-		Centre      string
-		Self        netip.AddrPort
+		DataCentre      string
+		PeerAddress        netip.AddrPort
 		Seeds       func() []netip.AddrPort // Peer addresses of some control replicas, read anew each time.
 		Mesh        caller
 		Parse       func(doc []byte) (*conf.Config, error)
-		Changed     func()                      // Called when the scheduler changed; may be nil.
-		Rates       func() []*wire.AccountUsage // What accounts used here of late, for a new scheduler; may be nil.
+		OnSchedulerChange     func()                      // Called when the scheduler changed; may be nil.
+		Usage       func() []*wire.AccountUsage // What accounts used here of late, for a new scheduler; may be nil.
 		Crashes     func() *wire.Crashes        // What this entry knows of requests that crash upstreams, likewise.
-		// Banned is called with each new list of bans, and whether it is the first of its
+		// OnBans is called with each new list of bans, and whether it is the first of its
 		// scheduler; may be nil.
-		Banned func(list *wire.Bans, other bool)
+		OnBans func(list *wire.Bans, other bool)
 		// Limits is what this entry knows of upstreams' limits, for a new scheduler, and
 		// Limited is called with all that are in force; both may be nil.
 		Limits  func() []*wire.Limit
-		Limited func(list []*wire.Limit)
+		OnLimits func(list []*wire.Limit)
 		Log     logr.Logger
 
 		now      atomic.Pointer[View]
@@ -81,7 +81,7 @@
 )
 
 // View returns what is known now, never nil.
-func (w *Watch) View() *View {
+func (w *Watcher) View() *View {
 	if v := w.now.Load(); v != nil {
 		return v
 	}
@@ -89,19 +89,19 @@
 }
 
 // Configured is closed once a configuration is in force here.
-func (w *Watch) Configured() <-chan struct{} {
+func (w *Watcher) Configured() <-chan struct{} {
 	w.once.Do(func() { w.first = make(chan struct{}) })
 	return w.first
 }
 
 // Owner returns the scheduler of a pool, nil while none is known.
-func (w *Watch) Owner(string) *wire.Member { return w.View().Owner }
+func (w *Watcher) Owner(string) *wire.Member { return w.View().Owner }
 
 // Alive lists no members: entries pass nothing on for each other.
-func (w *Watch) Alive() []*wire.Member { return nil }
+func (w *Watcher) Alive() []*wire.Member { return nil }
 
 // Serve follows the leader until ctx ends.
-func (w *Watch) Serve(ctx context.Context) error {
+func (w *Watcher) Serve(ctx context.Context) error {
 	to, late := found{}, 0
 	var measures sync.WaitGroup
 	defer measures.Wait()
@@ -139,7 +139,7 @@
 }
 
 // beyond looks for a leader while a scheduler of this data centre alone is followed.
-func (w *Watch) beyond(ctx context.Context, local found) found {
+func (w *Watcher) beyond(ctx context.Context, local found) found {
 	f := w.find(ctx)
 	if !f.addr.IsValid() || f.local {
 		return local
@@ -149,7 +149,7 @@
 }
 
 // limit is how long an answer may take after so many late ones in a row.
-func (w *Watch) limit(late int) time.Duration {
+func (w *Watcher) limit(late int) time.Duration {
 	if w.View().Owner != nil {
 		return askLimit
 	}
@@ -157,14 +157,14 @@
 }
 
 // ask waits for news of the leader and takes them.
-func (w *Watch) ask(ctx context.Context, to found, limit time.Duration) error {
+func (w *Watcher) ask(ctx context.Context, to found, limit time.Duration) error {
 	v, wait := w.View(), waitFor
 	if to.local {
 		wait = localWait
 	}
 	var rates []*wire.AccountUsage
-	if v.Owner == nil && w.Rates != nil {
-		rates = w.Rates()
+	if v.Owner == nil && w.Usage != nil {
+		rates = w.Usage()
 	}
 	var crashes *wire.Crashes
 	if v.Owner == nil && w.Crashes != nil {
@@ -180,7 +180,7 @@
 	w.stop = cancel
 	w.mu.Unlock()
 	f, err := w.Mesh.Call(ctx, to.addr, &wire.Frame{Body: &wire.Frame_Watch{Watch: &wire.Watch{
-		Node: w.Node, Incarnation: w.Incarnation, DataCentre: w.Centre, Address: w.Self.String(),
+		Node: w.Node, Incarnation: w.Incarnation, DataCentre: w.DataCentre, Address: w.PeerAddress.String(),
 		Version: v.Version, Revision: v.Revision, WaitUs: wait.Microseconds(), Leader: v.Owner.GetIncarnation(),
 		Rates: rates, Entries: int64(v.Entries), Alone: to.local, Crashes: crashes, Bans: v.bans, Limits: limits,
 	}}})
@@ -192,12 +192,12 @@
 
 // take puts news in force. An older configuration never replaces a newer one,
 // whoever sends it.
-func (w *Watch) take(from found, n *wire.News) error {
+func (w *Watcher) take(from found, n *wire.News) error {
 	w.learnAddrs(n.GetReplicas())
 	w.mu.Lock()
 	old := w.View()
 	v := *old
-	v.Entries, v.Heard = int(n.GetEntries()), time.Now()
+	v.Entries, v.LastHeard = int(n.GetEntries()), time.Now()
 	v.Silent, v.Unreached, v.Isolated = set(n.GetSilent()), set(n.GetUnreached()), from.local
 	var err error
 	if len(n.GetDocument()) > 0 && n.GetVersion() > v.Version {
@@ -215,12 +215,12 @@
 	fresh := v.Owner.GetIncarnation() != n.GetLeader()
 	if b := n.GetBans(); b != nil {
 		v.bans = b.GetRevision()
-		if w.Banned != nil {
-			w.Banned(b, fresh)
+		if w.OnBans != nil {
+			w.OnBans(b, fresh)
 		}
 	}
-	if w.Limited != nil {
-		w.Limited(n.GetLimits())
+	if w.OnLimits != nil {
+		w.OnLimits(n.GetLimits())
 	}
 	if fresh {
 		v.Owner = &wire.Member{Node: "control " + from.addr.String(), Incarnation: n.GetLeader(), Address: from.addr.String()}
@@ -228,8 +228,8 @@
 	}
 	w.now.Store(&v)
 	w.mu.Unlock()
-	if fresh && w.Changed != nil {
-		w.Changed()
+	if fresh && w.OnSchedulerChange != nil {
+		w.OnSchedulerChange()
 	}
 	return err
 }
@@ -242,7 +242,7 @@
 	return m
 }
 
-func (w *Watch) install(v *View, n *wire.News) error {
+func (w *Watcher) install(v *View, n *wire.News) error {
 	doc, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(n.GetDocument())), maxDocument))
 	if err != nil {
 		return fmt.Errorf("watch: document %d: %w", n.GetVersion(), err)
@@ -251,13 +251,13 @@
 	if err != nil {
 		return fmt.Errorf("watch: document %d: %w", n.GetVersion(), err)
 	}
-	v.Version, v.Index, v.Since = n.GetVersion(), index.New(cfg), time.Now()
+	v.Version, v.Index, v.InstalledAt = n.GetVersion(), index.New(cfg), time.Now()
 	w.Log.Info("Configuration in force.", "version", v.Version, "routes", len(cfg.Routes))
 	return nil
 }
 
 // Replaced takes an upstream out whose address answers as another one.
-func (w *Watch) Replaced(id string) {
+func (w *Watcher) Replaced(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.gone == nil {
@@ -270,7 +270,7 @@
 }
 
 // lose notes that there is no scheduler now.
-func (w *Watch) lose(why string) {
+func (w *Watcher) lose(why string) {
 	w.mu.Lock()
 	v := *w.View()
 	had := v.Owner != nil
@@ -280,7 +280,7 @@
 		w.now.Store(&v)
 	}
 	w.mu.Unlock()
-	if had && w.Changed != nil {
-		w.Changed()
+	if had && w.OnSchedulerChange != nil {
+		w.OnSchedulerChange()
 	}
 }
--- a/io/watch/watch_test.go
+++ b/io/watch/watch_test.go
@@ -72,8 +72,8 @@
 	return buf.Bytes()
 }
 
-func newWatch(c *control) *Watch {
-	return &Watch{
+func newWatch(c *control) *Watcher {
+	return &Watcher{
 		Node: "e", Incarnation: "i", Seeds: func() []netip.AddrPort { return []netip.AddrPort{addr} }, Mesh: c, Log: logr.Discard(),
 		Parse: func(doc []byte) (*conf.Config, error) {
 			if string(doc) == "bad" {
@@ -139,7 +139,7 @@
 		}}
 		w := newWatch(c)
 		changes := 0
-		w.Changed = func() { changes++ }
+		w.OnSchedulerChange = func() { changes++ }
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- w.Serve(ctx) }()
@@ -172,7 +172,7 @@
 }
 
 // follow runs the watch until the test ends.
-func follow(t *testing.T, w *Watch) {
+func follow(t *testing.T, w *Watcher) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -338,7 +338,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				r := &replicas{here: addr, elsewhere: tc.elsewhere}
 				w := newWatch(nil)
-				w.Centre, w.Mesh = "z1", r
+				w.DataCentre, w.Mesh = "z1", r
 				w.Seeds = func() []netip.AddrPort { return []netip.AddrPort{addr, netip.MustParseAddrPort("10.0.0.2:7000")} }
 				follow(t, w)
 				time.Sleep(2*pause + 2*localGrace)
