--- a/io/gated/gated.go
+++ b/io/gated/gated.go
@@ -58,7 +58,7 @@
 	log        logr.Logger
 	gate       *gate.Gate
 	watch      *watch.Watcher
-	grant      *grant.Grant
+	grant      *grant.Client
 	mesh       *mesh.Mesh
 	client     *client.Client
 	supervisor *suture.Supervisor
@@ -84,10 +84,10 @@
 		Node: settings.Node, Incarnation: incarnation, DataCentre: settings.Centre, PeerAddress: settings.Peers, Seeds: e.seeds, Mesh: e.mesh,
 		Parse: parseConfig, Log: log.WithName("watch"),
 	}
-	e.grant = &grant.Grant{
+	e.grant = &grant.Client{
 		Self: settings.Node, Incarnation: incarnation, Local: noLocalScheduler{}, Members: e.watch, Mesh: e.mesh, Log: log.WithName("grant"),
 	}
-	e.watch.OnSchedulerChange, e.watch.Usage = e.grant.Changed, g.UsageRates
+	e.watch.OnSchedulerChange, e.watch.Usage = e.grant.OwnersChanged, g.UsageRates
 	e.watch.Crashes, e.watch.OnBans = g.KnownCrashes, g.SetBans
 	e.watch.Limits, e.watch.OnLimits = g.KnownLimits, g.SetLimits
 	g.Node, g.Incarnation, g.DataCentre = settings.Node, incarnation, settings.Centre
--- a/io/grant/abroad.go
+++ b/io/grant/abroad.go
@@ -21,8 +21,8 @@
 // abroad asks the owners of the pool in other data centres, one after the
 // other, when there is no upstream here. The first refusal for another reason
 // than that is final, as at home.
-func (g *Grant) abroad(ctx context.Context, t *wire.Ticket, start time.Time, cause error) (*wire.Grant, error) {
-	for _, to := range g.Abroad(t.GetPool()) {
+func (g *Client) abroad(ctx context.Context, t *wire.Ticket, start time.Time, cause error) (*wire.Grant, error) {
+	for _, to := range g.RemoteEntries(t.GetPool()) {
 		now := aged(t, time.Since(start))
 		if now == nil {
 			return nil, refuse.New(refuse.Deadline, "no slot before the deadline", time.Second)
@@ -59,7 +59,7 @@
 	return &wire.Frame{Body: &wire.Frame_Relay{Relay: &wire.Relay{Pool: pool, Frame: f}}}
 }
 
-func (g *Grant) post(to netip.AddrPort, pool string, f *wire.Frame) {
+func (g *Client) post(to netip.AddrPort, pool string, f *wire.Frame) {
 	ctx, cancel := context.WithTimeout(context.Background(), sendLimit)
 	defer cancel()
 	if err := g.Mesh.Send(ctx, to, relayed(pool, f)); err != nil {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (g *Grant) keepFar(t *wire.Ticket, r *wire.Grant, to netip.AddrPort) {
+func (g *Client) keepFar(t *wire.Ticket, r *wire.Grant, to netip.AddrPort) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.fars == nil {
@@ -84,7 +84,7 @@
 
 // releaseFar gives a slot of another data centre back. It reports false for a
 // slot of this one.
-func (g *Grant) releaseFar(r *wire.Release) bool {
+func (g *Client) releaseFar(r *wire.Release) bool {
 	g.mu.Lock()
 	f := g.where[r.GetTicket()]
 	if f != nil {
@@ -101,7 +101,7 @@
 
 // tellFar sends the lists of slots held abroad. They also show the owners there
 // that this entry lives: no member of theirs probes it.
-func (g *Grant) tellFar() {
+func (g *Client) tellFar() {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/io/grant/abroad_test.go
+++ b/io/grant/abroad_test.go
@@ -58,7 +58,7 @@
 					return refused(m.GetTicket(), tc.home), nil
 				}
 				g := f.grant()
-				g.Abroad = func(string) []netip.AddrPort { return []netip.AddrPort{gone, far, third} }
+				g.RemoteEntries = func(string) []netip.AddrPort { return []netip.AddrPort{gone, far, third} }
 				r, err := g.Grant(t.Context(), &wire.Ticket{Id: 1, Pool: "p", Abroad: tc.abroad})
 				must.Eq(t, tc.asked, asked)
 				if tc.want != "" {
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -44,15 +44,15 @@
 var ErrNoOwner = errors.New("grant: no owner is known")
 
 type (
-	// Grant asks the owner of a pool, in this process or another. Its exported
+	// Client asks the owner of a pool, in this process or another. Its exported
 	// fields are set before use.
-	Grant struct {
+	Client struct {
 		Self        string // Node name.
 		Incarnation string
 		Local       local
 		Members     members
 		Mesh        caller
-		Abroad      func(pool string) []netip.AddrPort // Entries elsewhere to ask when no upstream is here; nil for none.
+		RemoteEntries      func(pool string) []netip.AddrPort // Entries elsewhere to ask when no upstream is here; nil for none.
 		Log         logr.Logger
 
 		mu    sync.Mutex
@@ -93,17 +93,17 @@
 
 // Grant waits for a slot. The error is a *refuse.Error when the owner said no,
 // or the context's error when the caller went away.
-func (g *Grant) Grant(ctx context.Context, t *wire.Ticket) (*wire.Grant, error) {
+func (g *Client) Grant(ctx context.Context, t *wire.Ticket) (*wire.Grant, error) {
 	start := time.Now()
 	r, err := g.home(ctx, t, start)
-	if g.Abroad != nil && !t.GetAbroad() && noUpstream(err) {
+	if g.RemoteEntries != nil && !t.GetAbroad() && noUpstream(err) {
 		return g.abroad(ctx, t, start, err)
 	}
 	return r, err
 }
 
 // home asks in this data centre.
-func (g *Grant) home(ctx context.Context, t *wire.Ticket, start time.Time) (*wire.Grant, error) {
+func (g *Client) home(ctx context.Context, t *wire.Ticket, start time.Time) (*wire.Grant, error) {
 	broken := map[string]int{} // Sends to an owner, by incarnation, whose link broke.
 	for n := range maxSends {
 		if err := pause(ctx, n); err != nil {
@@ -155,7 +155,7 @@
 // ask sends the ticket to the owner of now, once. It gives up when the pool
 // moves: a decision of the former owner that arrives later goes to a call that
 // no longer exists, so its grant can't be used.
-func (g *Grant) ask(ctx context.Context, t *wire.Ticket, broken map[string]int) (*wire.Decision, error) {
+func (g *Client) ask(ctx context.Context, t *wire.Ticket, broken map[string]int) (*wire.Decision, error) {
 	m := g.Members.Owner(t.GetPool())
 	if m == nil {
 		return nil, ErrNoOwner
@@ -191,7 +191,7 @@
 // call sends to a member itself, or through another one when its own link to
 // it keeps breaking. In an asymmetric cut the owner is alive for all others and
 // stays the owner, so without the detour this entry could use none of its pools.
-func (g *Grant) call(ctx context.Context, m *wire.Member, f *wire.Frame, relayed bool) (*wire.Frame, error) {
+func (g *Client) call(ctx context.Context, m *wire.Member, f *wire.Frame, relayed bool) (*wire.Frame, error) {
 	to, f, err := g.way(m, f, relayed)
 	if err != nil {
 		return nil, err
@@ -199,7 +199,7 @@
 	return g.Mesh.Call(ctx, to, f)
 }
 
-func (g *Grant) way(m *wire.Member, f *wire.Frame, relayed bool) (netip.AddrPort, *wire.Frame, error) {
+func (g *Client) way(m *wire.Member, f *wire.Frame, relayed bool) (netip.AddrPort, *wire.Frame, error) {
 	via := m
 	if relayed {
 		for _, o := range g.Members.Alive() {
@@ -217,7 +217,7 @@
 	return to, f, nil
 }
 
-func (g *Grant) withdraw(ctx context.Context, m *wire.Member, t *wire.Ticket, relayed bool) {
+func (g *Client) withdraw(ctx context.Context, m *wire.Member, t *wire.Ticket, relayed bool) {
 	f := &wire.Frame{Body: &wire.Frame_Withdraw{Withdraw: &wire.Withdraw{
 		Ticket: t.GetId(), Entry: t.GetEntry(), Incarnation: t.GetIncarnation(), Pool: t.GetPool(),
 	}}}
@@ -235,7 +235,7 @@
 // Release gives a slot back to the pool's owner of now. An owner that did not
 // grant it ignores a slot that it does not know. A release that is lost is
 // covered by the next list of held slots.
-func (g *Grant) Release(r *wire.Release) {
+func (g *Client) Release(r *wire.Release) {
 	if g.releaseFar(r) {
 		return
 	}
@@ -253,7 +253,7 @@
 	g.send(m, &wire.Frame{Body: &wire.Frame_Release{Release: r}})
 }
 
-func (g *Grant) send(m *wire.Member, f *wire.Frame) {
+func (g *Client) send(m *wire.Member, f *wire.Frame) {
 	ctx, cancel := context.WithTimeout(context.Background(), sendLimit)
 	defer cancel()
 	to, err := netip.ParseAddrPort(m.GetAddress())
@@ -265,7 +265,7 @@
 	}
 }
 
-func (g *Grant) decided(t *wire.Ticket, d *wire.Decision) (*wire.Grant, error) {
+func (g *Client) decided(t *wire.Ticket, d *wire.Decision) (*wire.Grant, error) {
 	if r := d.GetRefusal(); r != nil {
 		return nil, refusal(r)
 	}
@@ -281,7 +281,7 @@
 	return refuse.New(r.GetCode(), "", time.Duration(r.GetRetryAfterUs())*time.Microsecond)
 }
 
-func (g *Grant) enter(w *wait) {
+func (g *Client) enter(w *wait) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.waits == nil {
@@ -290,7 +290,7 @@
 	g.waits[w] = struct{}{}
 }
 
-func (g *Grant) leave(w *wait) {
+func (g *Client) leave(w *wait) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waits, w)
--- a/io/grant/grant_test.go
+++ b/io/grant/grant_test.go
@@ -88,8 +88,8 @@
 	return ids
 }
 
-func (f *fake) grant() *Grant {
-	return &Grant{Self: "alice", Incarnation: "a1", Local: f, Members: f, Mesh: f}
+func (f *fake) grant() *Client {
+	return &Client{Self: "alice", Incarnation: "a1", Local: f, Members: f, Mesh: f}
 }
 
 func granted(t *wire.Ticket, slot uint64) *wire.Frame {
@@ -156,7 +156,7 @@
 		f.owner = carol
 		f.mu.Unlock()
 		start := time.Now()
-		g.Changed()
+		g.OwnersChanged()
 		must.Eq(t, uint64(7), (<-got).GetSlot())
 		must.Less(t, 100*time.Millisecond, time.Since(start))
 		close(woke)
@@ -260,7 +260,7 @@
 		f.mu.Lock()
 		f.owner = carol
 		f.mu.Unlock()
-		g.Changed()
+		g.OwnersChanged()
 		synctest.Wait()
 		must.Len(t, 2, f.lists()[len(f.lists())-1].GetSlots())
 		cancel()
--- a/io/grant/held.go
+++ b/io/grant/held.go
@@ -16,7 +16,7 @@
 )
 
 // Serve sends the owners the lists of held slots until ctx ends.
-func (g *Grant) Serve(ctx context.Context) error {
+func (g *Client) Serve(ctx context.Context) error {
 	g.mu.Lock()
 	g.stopped = false
 	g.mu.Unlock()
@@ -34,9 +34,9 @@
 	}
 }
 
-// Changed lets go of the calls whose owner is no longer the pool's, so that
+// OwnersChanged lets go of the calls whose owner is no longer the pool's, so that
 // they ask the new one, and gives new owners the lists of held slots first.
-func (g *Grant) Changed() {
+func (g *Client) OwnersChanged() {
 	g.tell(true)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,7 +49,7 @@
 
 // tell sends the lists: all slots to an owner that is new, to the others those
 // that are older than held.Settled.
-func (g *Grant) tell(onlyNew bool) {
+func (g *Client) tell(onlyNew bool) {
 	type list struct {
 		owner *wire.Member
 		pools []string
@@ -122,13 +122,13 @@
 // spawn begins a goroutine, unless Serve has ended; the lock is held. One begun
 // during the wait for the others would be a misuse of the wait group, which
 // panics.
-func (g *Grant) spawn(f func()) {
+func (g *Client) spawn(f func()) {
 	if !g.stopped {
 		g.wg.Go(f)
 	}
 }
 
-func (g *Grant) stop() {
+func (g *Client) stop() {
 	g.mu.Lock()
 	g.stopped = true
 	g.mu.Unlock()
--- a/io/hub/scheduler.go
+++ b/io/hub/scheduler.go
@@ -172,7 +172,7 @@
 		done(d)
 		return
 	}
-	s.sched.Queue(ctx, t, func(d *wire.Decision) {
+	s.sched.SubmitAsync(ctx, t, func(d *wire.Decision) {
 		if refusal := d.GetRefusal(); refusal != nil {
 			s.refund(t)
 			s.recordRefusal(t, refusal, start, version)
--- a/io/hub/speeds.go
+++ b/io/hub/speeds.go
@@ -19,7 +19,7 @@
 		return
 	}
 	s.speedsLoggedAt = now
-	speeds := s.sched.Speeds()
+	speeds := s.sched.TokenTimes()
 	for _, pool := range slices.Sorted(maps.Keys(speeds)) {
 		if len(speeds[pool]) == 0 {
 			continue
--- a/io/owner/far.go
+++ b/io/owner/far.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Heard notes a list of held slots, from whichever data centre.
-func (o *Owner) Heard(incarnation string) {
+// KeepAlive notes a list of held slots, from whichever data centre.
+func (o *Owner) KeepAlive(incarnation string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if _, ok := o.far[incarnation]; ok {
@@ -42,7 +42,7 @@
 	}
 	var list []string
 	for incarnation, heard := range o.far {
-		if now.Sub(heard) > FarSilence {
+		if now.Sub(heard) > RemoteTimeout {
 			delete(o.far, incarnation)
 			list = append(list, incarnation)
 		}
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// Settle is how long a new owner waits to hear of upstreams before it says
+	// UpstreamDiscovery is how long a new owner waits to hear of upstreams before it says
 	// that there are none. Entries pass on the announcements that they know at
 	// once, and every upstream announces itself anew within a second, so after
 	// this time what is unknown is not there. Without it, each takeover refuses
 	// the tickets that arrive before the first announcement.
-	Settle = 1500 * time.Millisecond
+	UpstreamDiscovery = 1500 * time.Millisecond
 	retry  = 50 * time.Millisecond
-	// FarSilence is how long an entry of another data centre may send no list
+	// RemoteTimeout is how long an entry of another data centre may send no list
 	// of the slots that it holds. No member here probes it, so nothing else would
 	// tell that it died or is cut off, and its slots would stay taken.
-	FarSilence = 15 * time.Second
+	RemoteTimeout = 15 * time.Second
 	lookEvery  = time.Second
 )
 
@@ -34,7 +34,7 @@
 	// Owner stands before the schedulers of this process. Its exported fields
 	// are set before use.
 	Owner struct {
-		Mine  func(pool string) bool
+		Owns  func(pool string) bool
 		Sched schedulers
 
 		mu    sync.Mutex
@@ -63,7 +63,7 @@
 	since := o.enter(c)
 	defer o.leave(c)
 	// Only now: a change before was seen here, one after cancels the call.
-	if !o.Mine(t.GetPool()) {
+	if !o.Owns(t.GetPool()) {
 		return nil, moved(t)
 	}
 	for {
@@ -71,7 +71,7 @@
 		if d.GetGrant() == nil && errors.Is(context.Cause(ctx), errMoved) {
 			return nil, moved(t)
 		}
-		if d.GetRefusal().GetCode() != refuse.NoUpstream || time.Since(since) > Settle || ctx.Err() != nil {
+		if d.GetRefusal().GetCode() != refuse.NoUpstream || time.Since(since) > UpstreamDiscovery || ctx.Err() != nil {
 			return d, nil
 		}
 		select {
@@ -81,18 +81,18 @@
 	}
 }
 
-// Changed lets go of the calls whose pool is no longer this process's. Their
+// OwnershipChanged lets go of the calls whose pool is no longer this process's. Their
 // tickets leave the queue, and their entries are told at once to ask elsewhere.
-func (o *Owner) Changed() {
+func (o *Owner) OwnershipChanged() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for p := range o.since {
-		if !o.Mine(p) {
+		if !o.Owns(p) {
 			delete(o.since, p)
 		}
 	}
 	for c := range o.calls {
-		if !o.Mine(c.GetPool()) {
+		if !o.Owns(c.GetPool()) {
 			c.cancel(errMoved)
 		}
 	}
--- a/io/owner/owner_test.go
+++ b/io/owner/owner_test.go
@@ -46,14 +46,14 @@
 		do   func(o *Owner, mine *atomic.Bool)
 	}{
 		{"moved before", func(*Owner, *atomic.Bool) {}},
-		{"moves while it waits", func(o *Owner, mine *atomic.Bool) { mine.Store(false); o.Changed() }},
+		{"moves while it waits", func(o *Owner, mine *atomic.Bool) { mine.Store(false); o.OwnershipChanged() }},
 		{"entry taken for dead", func(o *Owner, _ *atomic.Bool) { o.Forget("a1") }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var mine atomic.Bool
 				mine.Store(tc.name != "moved before")
-				o := &Owner{Mine: func(string) bool { return mine.Load() }, Sched: &fake{}}
+				o := &Owner{Owns: func(string) bool { return mine.Load() }, Sched: &fake{}}
 				done := make(chan error, 1)
 				go func() {
 					_, err := o.Submit(t.Context(), &wire.Ticket{Id: 1, Pool: "p", Incarnation: "a1"})
@@ -71,7 +71,7 @@
 // Tickets are not refused for want of upstreams until one could have.
 func TestNewOwnerWaitsForUpstreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &Owner{Mine: func(string) bool { return true }, Sched: &fake{code: refuse.NoUpstream}}
+		o := &Owner{Owns: func(string) bool { return true }, Sched: &fake{code: refuse.NoUpstream}}
 		ask := func() time.Duration {
 			start := time.Now()
 			d, err := o.Submit(t.Context(), &wire.Ticket{Id: 1, Pool: "p"})
@@ -79,7 +79,7 @@
 			must.Eq(t, refuse.NoUpstream, d.GetRefusal().GetCode())
 			return time.Since(start)
 		}
-		must.GreaterEq(t, Settle, ask())
+		must.GreaterEq(t, UpstreamDiscovery, ask())
 		must.Eq(t, 0, ask()) // Settled: said at once.
 	})
 }
@@ -90,18 +90,18 @@
 func TestSilentFarEntryIsForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fake{code: refuse.Overloaded}
-		o := &Owner{Mine: func(string) bool { return true }, Sched: f}
+		o := &Owner{Owns: func(string) bool { return true }, Sched: f}
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = o.Serve(ctx) }()
 		_, err := o.Submit(ctx, &wire.Ticket{Id: 1, Pool: "p", Incarnation: "far-1", Abroad: true})
 		must.NoError(t, err)
 		for range 20 {
 			time.Sleep(2 * time.Second)
-			o.Heard("far-1")
+			o.KeepAlive("far-1")
 		}
 		synctest.Wait()
 		must.Nil(t, f.forgot.Load())
-		time.Sleep(FarSilence + 2*lookEvery)
+		time.Sleep(RemoteTimeout + 2*lookEvery)
 		synctest.Wait()
 		must.Eq(t, any("far-1"), f.forgot.Load())
 		cancel()
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -24,13 +24,13 @@
 var tracer = otel.Tracer("azurelane/io/sched")
 
 const (
-	// TickEvery is how often deadlines, leases and grants are looked at while
+	// TickInterval is how often deadlines, leases and grants are looked at while
 	// tickets wait.
-	TickEvery = 5 * time.Millisecond
-	// IdleEvery is how often leases and slots are looked at while no ticket
+	TickInterval = 5 * time.Millisecond
+	// IdleTickInterval is how often leases and slots are looked at while no ticket
 	// waits. Waking up 200 times a second for nothing costs an idle entry more
 	// than all else that it does.
-	IdleEvery = 200 * time.Millisecond
+	IdleTickInterval = 200 * time.Millisecond
 )
 
 const (
@@ -125,11 +125,11 @@
 // is withdrawn.
 func (s *Sched) Submit(ctx context.Context, t *wire.Ticket) *wire.Decision {
 	ch := make(chan *wire.Decision, 1)
-	s.Queue(ctx, t, func(d *wire.Decision) { ch <- d })
+	s.SubmitAsync(ctx, t, func(d *wire.Decision) { ch <- d })
 	return <-ch
 }
 
-// Queue takes a ticket and calls done once with the decision, from whichever
+// SubmitAsync takes a ticket and calls done once with the decision, from whichever
 // goroutine makes it; done must not wait. A goroutine for each ticket that waits
 // would be woken for its decision: when a burst is refused, thousands are at once,
 // and all else that the process has to do, its heartbeats among it, comes after
@@ -138,7 +138,7 @@
 // When ctx ends first, the ticket is withdrawn. A ticket sent again, because the
 // link broke before the decision arrived, takes the place of its former call; that
 // one's end then withdraws nothing.
-func (s *Sched) Queue(ctx context.Context, t *wire.Ticket, done func(*wire.Decision)) {
+func (s *Sched) SubmitAsync(ctx context.Context, t *wire.Ticket, done func(*wire.Decision)) {
 	if s.bans.refuses(time.Now(), t) {
 		done(refuse.Ticket(t, refuse.Crashes, 0))
 		return
@@ -291,7 +291,7 @@
 // hear nothing for as long as their links live.
 func (s *Sched) Serve(ctx context.Context) error {
 	defer s.end()
-	tick := time.NewTimer(TickEvery)
+	tick := time.NewTimer(TickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -306,10 +306,10 @@
 		for _, r := range s.all() {
 			r.do(r.tick)
 		}
-		next := IdleEvery
+		next := IdleTickInterval
 		if s.Waiting() > 0 {
 			s.idle.Store(false)
-			next = TickEvery
+			next = TickInterval
 		}
 		tick.Reset(next)
 	}
@@ -349,9 +349,9 @@
 	}
 }
 
-// Speeds is what the policies that learn believe of their upstreams, by pool: the time
+// TokenTimes is what the policies that learn believe of their upstreams, by pool: the time
 // that each takes for one token of an answer.
-func (s *Sched) Speeds() map[string]map[string]time.Duration {
+func (s *Sched) TokenTimes() map[string]map[string]time.Duration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	all := map[string]map[string]time.Duration{}
--- a/io/sched/sched_test.go
+++ b/io/sched/sched_test.go
@@ -149,12 +149,12 @@
 		go func() { done <- s.Serve(ctx) }()
 		must.NotNil(t, s.Submit(t.Context(), ticket(1)).GetGrant())
 		for id := uint64(2); id < 5; id++ {
-			time.Sleep(10*sched.IdleEvery + 7*time.Millisecond)
+			time.Sleep(10*sched.IdleTickInterval + 7*time.Millisecond)
 			late := ticket(id)
 			late.DeadlineUs = (33 * time.Millisecond).Microseconds()
 			start := time.Now()
 			must.NotNil(t, s.Submit(t.Context(), late).GetRefusal())
-			must.LessEq(t, 33*time.Millisecond+sched.TickEvery, time.Since(start))
+			must.LessEq(t, 33*time.Millisecond+sched.TickInterval, time.Since(start))
 		}
 		stop()
 		must.ErrorIs(t, <-done, context.Canceled)
--- a/io/sched/speeds_test.go
+++ b/io/sched/speeds_test.go
@@ -24,7 +24,7 @@
 	for _, name := range []string{"a", "b"} {
 		s.Announce(&wire.Announce{Upstream: name, Pools: []string{"engines", "plain"}, MaxRunning: 4, LeaseUs: time.Hour.Microseconds(), Seq: 1})
 	}
-	before := s.Speeds()
+	before := s.TokenTimes()
 	must.MapLen(t, 1, before)
 	must.MapLen(t, 2, before["engines"])
 
@@ -35,5 +35,5 @@
 		Ticket: 1, Incarnation: "i", Pool: "engines", Upstream: up, Slot: d.GetGrant().GetSlot(), Owner: "own",
 		Dispatched: true, Whole: true, FirstTokenUs: time.Second.Microseconds(), TotalUs: (3 * time.Second).Microseconds(), Pieces: 101,
 	})
-	must.Greater(t, before["engines"][up], s.Speeds()["engines"][up])
+	must.Greater(t, before["engines"][up], s.TokenTimes()["engines"][up])
 }
