--- a/io/hub/reign.go
+++ b/io/hub/reign.go
@@ -165,7 +165,7 @@
 		done(d)
 		return
 	}
-	r.sched.Queue(ctx, t, func(d *wire.Decision) {
+	r.sched.SubmitAsync(ctx, t, func(d *wire.Decision) {
 		if no := d.GetRefusal(); no != nil {
 			r.refund(t)
 			r.refused(t, no, start, version)
--- a/io/hub/speeds.go
+++ b/io/hub/speeds.go
@@ -18,7 +18,7 @@
 		return
 	}
 	r.spoke = now
-	speeds := r.sched.Speeds()
+	speeds := r.sched.TokenTimes()
 	for _, pool := range slices.Sorted(maps.Keys(speeds)) {
 		if len(speeds[pool]) == 0 {
 			continue
--- a/io/sched/bans.go
+++ b/io/sched/bans.go
@@ -9,29 +9,32 @@
 	"azurelane/core/wire"
 )
 
-// bans keeps requests from upstreams that crash under them. The zero value is ready.
+// bans detects requests that crash upstreams and blocks further sends of them. The zero value is
+// ready to use.
 type bans struct {
-	mu       sync.Mutex
-	poison   poison.Poison
-	upstream map[string]string // Incarnation by name.
+	mu           sync.Mutex
+	poison       poison.Poison
+	incarnations map[string]string // Current incarnation of each upstream, by name.
 }
 
-// runs notes which process of an upstream is there.
-func (b *bans) runs(a *wire.Announce) {
+// setIncarnation records the current incarnation of an upstream, or removes an upstream that is
+// leaving.
+func (b *bans) setIncarnation(a *wire.Announce) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.upstream == nil {
-		b.upstream = map[string]string{}
+	if b.incarnations == nil {
+		b.incarnations = map[string]string{}
 	}
 	if a.GetLeaving() {
-		delete(b.upstream, a.GetUpstream())
+		delete(b.incarnations, a.GetUpstream())
 		return
 	}
-	b.upstream[a.GetUpstream()] = a.GetIncarnation()
+	b.incarnations[a.GetUpstream()] = a.GetIncarnation()
 }
 
-// ended learns from a run, and reports whether its request is banned from now on.
-func (b *bans) ended(now time.Time, r *wire.Release) bool {
+// recordRun evaluates the outcome of a run and reports whether its request has just been banned. A
+// crash counts against the request; a run that did not fail clears its earlier crashes.
+func (b *bans) recordRun(now time.Time, r *wire.Release) bool {
 	d, ok := digest.From(r.GetDigest())
 	if !ok || !r.GetDispatched() {
 		return false
@@ -40,15 +43,15 @@
 	defer b.mu.Unlock()
 	switch {
 	case r.GetCrashed():
-		return b.poison.Crash(now, d, r.GetUpstream()+"@"+b.upstream[r.GetUpstream()], false)
+		return b.poison.Crash(now, d, r.GetUpstream()+"@"+b.incarnations[r.GetUpstream()], false)
 	case !r.GetFailed():
 		b.poison.Clear(d)
 	}
 	return false
 }
 
-// refuses reports whether a request must not be sent. One that is banned may be once, to
-// see whether it is innocent.
+// refuses reports whether a request must not be sent. A banned request is still allowed a trial
+// send, which is counted here, to detect bans made by mistake.
 func (b *bans) refuses(now time.Time, t *wire.Ticket) bool {
 	d, ok := digest.From(t.GetDigest())
 	if !ok {
--- a/io/sched/bans_test.go
+++ b/io/sched/bans_test.go
@@ -12,8 +12,8 @@
 	"azurelane/core/wire"
 )
 
-// Guards against a request that crashes an upstream each time that it is back, and
-// against a ban of others of its account.
+// Guards against a request that crashes an upstream again after each restart, and against banning
+// other requests of the same account.
 func TestRequestThatCrashesUpstreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSched()
--- a/io/sched/sched.go
+++ b/io/sched/sched.go
@@ -1,4 +1,5 @@
-// Package sched runs the scheduling policies of the pools that an entry owns.
+// Package sched runs the scheduling policies of the pools that this process owns and delivers their
+// decisions to the waiting calls.
 package sched
 
 import (
@@ -24,90 +25,93 @@
 var tracer = otel.Tracer("azurelane/io/sched")
 
 const (
-	// TickEvery is how often deadlines, leases and grants are looked at while
-	// tickets wait.
-	TickEvery = 5 * time.Millisecond
-	// IdleEvery is how often leases and slots are looked at while no ticket
-	// waits. Waking up 200 times a second for nothing costs an idle entry more
-	// than all else that it does.
-	IdleEvery = 200 * time.Millisecond
+	// TickInterval is the interval between checks of deadlines, leases and grants while tickets
+	// wait.
+	TickInterval = 5 * time.Millisecond
+	// IdleTickInterval is the interval between checks of leases and slots while no ticket waits.
+	// Checking every TickInterval, 200 times a second, would cost an idle process more CPU time
+	// than all its other work.
+	IdleTickInterval = 200 * time.Millisecond
 )
 
 const (
-	// withdrawn is the code of a call whose caller has gone, or which nobody here
-	// decides on any more: an entry that reads it asks the pool's owner of then.
+	// withdrawn is the refusal code of a ticket that was withdrawn, or that is no longer scheduled
+	// here because this scheduler has stopped. An entry that receives it asks the pool's current
+	// owner.
 	withdrawn  = "withdrawn"
 	retryAfter = time.Second
-	// goneKeep is how long a withdrawal is remembered for a ticket that it has
-	// overtaken. Frames of a link are read in order and handled at once, so that
-	// they change places only by the moments that a goroutine takes to start. The
-	// entry may send the ticket again later, when its pool has moved away and back.
-	goneKeep = 500 * time.Millisecond
+	// withdrawalRetention is how long a withdrawal is remembered that arrives before its ticket.
+	// Frames of a link are read in order and handled at once, so they are reordered only by the
+	// time that a goroutine takes to start. A longer retention would refuse a ticket that the entry
+	// sends again after its pool has moved to another owner and back.
+	withdrawalRetention = 500 * time.Millisecond
 )
 
 type (
-	// Sched holds one scheduler a pool and the calls that wait for a decision.
-	// Its exported fields are set before use.
+	// Sched holds one scheduling policy per pool and the calls that wait for a decision. Its
+	// exported fields must be set before use.
 	Sched struct {
 		Incarnation string
 		Log         logr.Logger
 
-		idle atomic.Bool // No ticket waited at the last tick.
+		idle atomic.Bool // No ticket was waiting at the last tick.
 		wake chan struct{}
 		once sync.Once
 		bans bans
 
-		mu    sync.RWMutex
-		pools map[string]*runner
-		ended bool
+		mu      sync.RWMutex
+		pools   map[string]*runner
+		stopped bool
 	}
 
+	// runner runs the scheduling policy of one pool.
 	runner struct {
-		mu      sync.Mutex
-		owner   string // Incarnation that grants carry.
-		name    string // Of the policy.
-		policy  kernel.Scheduler
-		waiting map[waitKey]*call
-		gone    map[waitKey]time.Time // Withdrawn of late.
-		closed  bool
+		mu               sync.Mutex
+		owner            string // Incarnation of this process, set as the owner in grants.
+		policyName       string // Registered name in package kernel.
+		policy           kernel.Scheduler
+		waiting          map[ticketKey]*call
+		earlyWithdrawals map[ticketKey]time.Time // Withdrawals that found no waiting call.
+		closed           bool
 	}
 
 	// call waits for the decision on a ticket.
 	call struct {
 		done func(*wire.Decision)
-		stop func() bool // Ends the watch over the caller's context.
+		stop func() bool // Stops the callback for the end of the caller's context.
 	}
 
-	waitKey struct {
+	// ticketKey identifies a ticket across all entries.
+	ticketKey struct {
 		incarnation string
 		ticket      uint64
 	}
 )
 
-// Install puts a configuration in force. Pools that are gone refuse their
-// waiting tickets.
+// Install applies a configuration. The waiting tickets of a pool that was removed, or whose policy
+// has changed, are refused.
 func (s *Sched) Install(cfg *conf.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.stopped {
 		return
 	}
 	if s.pools == nil {
 		s.pools = map[string]*runner{}
 	}
 	for name, p := range cfg.Pools {
-		policy := p.WithDefaults().Scheduler
+		policyName := p.WithDefaults().Scheduler
 		r := s.pools[name]
-		if r == nil || r.name != policy {
-			sch, err := kernel.New(policy)
+		if r == nil || r.policyName != policyName {
+			sch, err := kernel.New(policyName)
 			if err != nil {
-				s.Log.Error(err, "Pool left as it was.", "pool", name)
+				s.Log.Error(err, "Pool configuration not applied.", "pool", name)
 				continue
 			}
 			r.refuseAll()
 			r = &runner{
-				owner: s.Incarnation, name: policy, policy: sch,
-				waiting: map[waitKey]*call{}, gone: map[waitKey]time.Time{},
+				owner: s.Incarnation, policyName: policyName, policy: sch,
+				waiting: map[ticketKey]*call{}, earlyWithdrawals: map[ticketKey]time.Time{},
 			}
 			s.pools[name] = r
 		}
@@ -121,29 +125,27 @@
 	}
 }
 
-// Submit waits for the decision on a ticket. When ctx ends first, the ticket
-// is withdrawn.
+// Submit waits for the decision on a ticket. If ctx ends first, the ticket is withdrawn.
 func (s *Sched) Submit(ctx context.Context, t *wire.Ticket) *wire.Decision {
 	ch := make(chan *wire.Decision, 1)
-	s.Queue(ctx, t, func(d *wire.Decision) { ch <- d })
+	s.SubmitAsync(ctx, t, func(d *wire.Decision) { ch <- d })
 	return <-ch
 }
 
-// Queue takes a ticket and calls done once with the decision, from whichever
-// goroutine makes it; done must not wait. A goroutine for each ticket that waits
-// would be woken for its decision: when a burst is refused, thousands are at once,
-// and all else that the process has to do, its heartbeats among it, comes after
-// them.
+// SubmitAsync submits a ticket and calls done exactly once with the decision. It may call done from
+// any goroutine; done must not block. The callback avoids a goroutine per waiting ticket: when a
+// burst of tickets is refused, thousands of goroutines would become runnable at once and delay all
+// other work of the process, including its heartbeats.
 //
-// When ctx ends first, the ticket is withdrawn. A ticket sent again, because the
-// link broke before the decision arrived, takes the place of its former call; that
-// one's end then withdraws nothing.
-func (s *Sched) Queue(ctx context.Context, t *wire.Ticket, done func(*wire.Decision)) {
+// If ctx ends first, the ticket is withdrawn. A ticket that is sent again, because the link broke
+// before the decision arrived, replaces its earlier call. The end of the earlier call's context
+// then no longer withdraws the ticket.
+func (s *Sched) SubmitAsync(ctx context.Context, t *wire.Ticket, done func(*wire.Decision)) {
 	if s.bans.refuses(time.Now(), t) {
 		done(refuse.Ticket(t, refuse.Crashes, 0))
 		return
 	}
-	r, ended := s.runner(t.GetPool())
+	r, ended := s.lookup(t.GetPool())
 	if ended {
 		done(refuse.Ticket(t, withdrawn, retryAfter))
 		return
@@ -153,53 +155,54 @@
 		return
 	}
 	_, span := tracer.Start(trace.With(ctx, t.GetTraceparent()), "decision")
-	k := waitKey{t.GetIncarnation(), t.GetId()}
+	k := ticketKey{t.GetIncarnation(), t.GetId()}
 	c := &call{done: func(d *wire.Decision) {
 		span.End()
 		done(d)
 	}}
-	if !r.enter(ctx, k, c, t) {
+	if !r.register(ctx, k, c, t) {
 		c.done(refuse.Ticket(t, withdrawn, retryAfter))
 		return
 	}
 	r.do(func(now time.Time) []*wire.Decision {
 		if r.waiting[k] != c {
-			return nil // Its caller has gone already: a place would be granted to nobody.
+			return nil // The call has ended already, so a granted slot would stay unused.
 		}
 		return r.policy.Submit(now, t)
 	})
-	if r.waits(k, c) && s.idle.CompareAndSwap(true, false) {
+	if r.isWaiting(k, c) && s.idle.CompareAndSwap(true, false) {
 		select {
-		case s.waker() <- struct{}{}:
-		default: // A signal is on its way already.
+		case s.wakeSignal() <- struct{}{}:
+		default: // A signal is pending already.
 		}
 	}
 }
 
-// enter notes a call that waits. It reports false for a ticket whose withdrawal has
-// overtaken it, or which comes after the end.
-func (r *runner) enter(ctx context.Context, k waitKey, c *call, t *wire.Ticket) bool {
+// register adds a waiting call. It reports false for a ticket whose withdrawal arrived first, and
+// after the runner was closed.
+func (r *runner) register(ctx context.Context, k ticketKey, c *call, t *wire.Ticket) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, gone := r.gone[k]; gone || r.closed {
+	if _, early := r.earlyWithdrawals[k]; early || r.closed {
 		return false
 	}
-	r.end(k, withdrawn)
+	r.refuseCall(k, withdrawn)
 	r.waiting[k] = c
 	c.stop = context.AfterFunc(ctx, func() { r.abandon(k, c, t) })
 	return true
 }
 
-func (r *runner) waits(k waitKey, c *call) bool {
+// isWaiting reports whether c still waits for the decision on ticket k.
+func (r *runner) isWaiting(k ticketKey, c *call) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.waiting[k] == c
 }
 
-// end answers a call whose ticket needs no decision any more. Its caller may
-// have gone, but without this the call would be kept as long as the link lives. It
-// reports whether there was one.
-func (r *runner) end(k waitKey, code string) bool {
+// refuseCall ends the waiting call of a ticket, if there is one, with a refusal, and reports
+// whether there was one. A call whose caller has gone is answered too; otherwise it would stay open
+// until its link closes. The caller must hold r.mu.
+func (r *runner) refuseCall(k ticketKey, code string) bool {
 	c, ok := r.waiting[k]
 	if ok {
 		delete(r.waiting, k)
@@ -209,42 +212,42 @@
 	return ok
 }
 
-// abandon gives up the ticket of a call whose context has ended, unless it is
-// decided or a later call has taken the ticket over.
-func (r *runner) abandon(k waitKey, c *call, t *wire.Ticket) {
+// abandon withdraws the ticket of a call whose context has ended, unless the ticket has been
+// decided or a later call for the same ticket has replaced this one.
+func (r *runner) abandon(k ticketKey, c *call, t *wire.Ticket) {
 	r.do(func(now time.Time) []*wire.Decision {
 		if r.waiting[k] != c {
 			return nil
 		}
-		r.end(k, withdrawn)
+		r.refuseCall(k, withdrawn)
 		r.policy.Withdraw(now, &wire.Withdraw{Ticket: t.GetId(), Entry: t.GetEntry(), Incarnation: t.GetIncarnation(), Pool: t.GetPool()})
 		return r.policy.Tick(now)
 	})
 }
 
-// Withdraw drops a ticket. If it was granted in the same moment, the slot is
-// freed: the entry that withdraws has given up and will not dispatch.
+// Withdraw drops a ticket. If the ticket was granted concurrently, its slot is freed, because the
+// entry that withdraws a ticket does not dispatch its request.
 func (s *Sched) Withdraw(w *wire.Withdraw) {
 	r := s.pool(w.GetPool())
 	if r == nil {
 		return
 	}
 	r.do(func(now time.Time) []*wire.Decision {
-		k := waitKey{w.GetIncarnation(), w.GetTicket()}
-		if !r.end(k, withdrawn) {
-			r.gone[k] = now
+		k := ticketKey{w.GetIncarnation(), w.GetTicket()}
+		if !r.refuseCall(k, withdrawn) {
+			r.earlyWithdrawals[k] = now
 		}
 		r.policy.Withdraw(now, w)
 		return r.policy.Tick(now)
 	})
 }
 
-// Release gives a slot back.
+// Release frees a slot and records the outcome of its run.
 func (s *Sched) Release(rel *wire.Release) {
 	if rel.GetOwner() == s.Incarnation {
-		rel.Owner = "" // The policy's own slots carry no owner.
+		rel.Owner = "" // The policy stores the slots that it granted itself without an owner.
 	}
-	if s.bans.ended(time.Now(), rel) {
+	if s.bans.recordRun(time.Now(), rel) {
 		s.Log.Info("Request banned: it crashes upstreams.", "digest", hex.EncodeToString(rel.GetDigest()), "account", rel.GetAccount())
 	}
 	if r := s.pool(rel.GetPool()); r != nil {
@@ -252,9 +255,9 @@
 	}
 }
 
-// Announce hands an upstream's lease to the pools that it names.
+// Announce passes an upstream's lease and load report to the pools that it serves.
 func (s *Sched) Announce(a *wire.Announce) {
-	s.bans.runs(a)
+	s.bans.setIncarnation(a)
 	for _, name := range a.GetPools() {
 		if r := s.pool(name); r != nil {
 			r.do(func(now time.Time) []*wire.Decision { return r.policy.Announce(now, a) })
@@ -262,16 +265,16 @@
 	}
 }
 
-// Hold takes the list of slots that an entry holds: to take them over from a
-// former owner, and as the truth about the grants of this one.
+// Hold reconciles the policies with the list of slots that an entry holds. It adopts slots that a
+// previous owner granted and frees slots that the entry no longer holds.
 func (s *Sched) Hold(h *wire.Held) {
-	h = proto.CloneOf(h) // An entry in this process goes on using its own list.
+	h = proto.CloneOf(h) // An entry in this process keeps using the same message.
 	for _, slot := range h.GetSlots() {
 		if g := slot.GetGrant(); g.GetOwner() == s.Incarnation {
-			g.Owner = "" // The policy's own slots carry no owner.
+			g.Owner = "" // The policy stores the slots that it granted itself without an owner.
 		}
 	}
-	for _, r := range s.all() {
+	for _, r := range s.runners() {
 		r.do(func(now time.Time) []*wire.Decision {
 			r.policy.Hold(now, h)
 			return r.policy.Tick(now)
@@ -279,79 +282,79 @@
 	}
 }
 
-// Forget drops what a dead entry held and waited for.
+// Forget frees the slots of a dead entry and drops its waiting tickets.
 func (s *Sched) Forget(incarnation string) {
-	for _, r := range s.all() {
+	for _, r := range s.runners() {
 		r.do(func(now time.Time) []*wire.Decision { return r.policy.Forget(now, incarnation) })
 	}
 }
 
-// Serve ticks the policies until ctx ends. Tickets that wait then are answered, and so
-// are those that come later: nobody decides on them any more, and their entries would
-// hear nothing for as long as their links live.
+// Serve ticks the policies until ctx ends. All tickets that still wait, and all that arrive later,
+// are then refused, because no policy decides on them any more and their entries would wait until
+// their links close.
 func (s *Sched) Serve(ctx context.Context) error {
-	defer s.end()
-	tick := time.NewTimer(TickEvery)
+	defer s.stop()
+	tick := time.NewTimer(TickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-		case <-s.waker():
+		case <-s.wakeSignal():
 		}
-		// Idle is said before the look: a ticket that comes during it wakes the
-		// loop, and one that came before is seen.
+		// The idle flag is set before the check below: a ticket that arrives during the check wakes
+		// the loop, and one that arrived before is counted.
 		s.idle.Store(true)
-		for _, r := range s.all() {
+		for _, r := range s.runners() {
 			r.do(r.tick)
 		}
-		next := IdleEvery
+		next := IdleTickInterval
 		if s.Waiting() > 0 {
 			s.idle.Store(false)
-			next = TickEvery
+			next = TickInterval
 		}
 		tick.Reset(next)
 	}
 }
 
-// waker carries one signal for each time that the loop said it was idle.
-func (s *Sched) waker() chan struct{} {
+// wakeSignal returns the channel that wakes Serve from an idle wait.
+func (s *Sched) wakeSignal() chan struct{} {
 	s.once.Do(func() { s.wake = make(chan struct{}, 1) })
 	return s.wake
 }
 
 func (r *runner) tick(now time.Time) []*wire.Decision {
-	maps.DeleteFunc(r.gone, func(_ waitKey, at time.Time) bool { return now.Sub(at) > goneKeep })
+	maps.DeleteFunc(r.earlyWithdrawals, func(_ ticketKey, at time.Time) bool { return now.Sub(at) > withdrawalRetention })
 	return r.policy.Tick(now)
 }
 
 func (s *Sched) pool(name string) *runner {
-	r, _ := s.runner(name)
+	r, _ := s.lookup(name)
 	return r
 }
 
-// runner returns what schedules a pool, and whether this scheduler has ended.
-func (s *Sched) runner(name string) (*runner, bool) {
+// lookup returns the runner of a pool, nil if there is none, and whether the scheduler has stopped.
+func (s *Sched) lookup(name string) (*runner, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.pools[name], s.ended
+	return s.pools[name], s.stopped
 }
 
-// end answers what waits.
-func (s *Sched) end() {
+// stop refuses all waiting tickets and all that arrive later.
+func (s *Sched) stop() {
 	s.mu.Lock()
 	pools := s.pools
-	s.pools, s.ended = nil, true
+	s.pools, s.stopped = nil, true
 	s.mu.Unlock()
 	for _, r := range pools {
 		r.close()
 	}
 }
 
-// Speeds is what the policies that learn believe of their upstreams, by pool: the time
-// that each takes for one token of an answer.
-func (s *Sched) Speeds() map[string]map[string]time.Duration {
+// TokenTimes returns the estimated time per answer token of each upstream, by pool and upstream. It
+// covers only the pools whose policy estimates it.
+func (s *Sched) TokenTimes() map[string]map[string]time.Duration {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	all := map[string]map[string]time.Duration{}
@@ -367,10 +370,10 @@
 	return all
 }
 
-// Waiting is the number of tickets that wait for a decision.
+// Waiting returns the number of tickets that wait for a decision.
 func (s *Sched) Waiting() int {
 	n := 0
-	for _, r := range s.all() {
+	for _, r := range s.runners() {
 		r.mu.Lock()
 		n += len(r.waiting)
 		r.mu.Unlock()
@@ -378,14 +381,14 @@
 	return n
 }
 
-func (s *Sched) all() []*runner {
+func (s *Sched) runners() []*runner {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return slices.AppendSeq(make([]*runner, 0, len(s.pools)), maps.Values(s.pools))
 }
 
-// do runs one step of the policy and hands its decisions to the calls that
-// wait for them, after the step: others need not wait for what they do with them.
+// do runs one step of the policy and delivers its decisions to the waiting calls. It delivers them
+// after it has released the lock, so that the callbacks don't delay other steps.
 func (r *runner) do(step func(time.Time) []*wire.Decision) {
 	r.mu.Lock()
 	list := step(time.Now())
@@ -394,7 +397,7 @@
 		if g := d.GetGrant(); g != nil {
 			g.Owner = r.owner
 		}
-		k := waitKey{d.GetIncarnation(), d.GetTicket()}
+		k := ticketKey{d.GetIncarnation(), d.GetTicket()}
 		calls[n] = r.waiting[k]
 		delete(r.waiting, k)
 	}
@@ -407,6 +410,7 @@
 	}
 }
 
+// refuseAll refuses all waiting tickets of a pool that was removed or replaced.
 func (r *runner) refuseAll() {
 	if r == nil {
 		return
@@ -414,16 +418,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for k := range r.waiting {
-		r.end(k, refuse.NotFound)
+		r.refuseCall(k, refuse.NotFound)
 	}
 }
 
-// close answers what waits, one after the other, as a goroutine each would keep all else
-// from running.
+// close refuses all waiting tickets and all that arrive later. It answers the calls one after the
+// other: a goroutine per call would delay the other work of the process.
 func (r *runner) close() {
 	r.mu.Lock()
 	calls := r.waiting
-	r.waiting, r.closed = map[waitKey]*call{}, true
+	r.waiting, r.closed = map[ticketKey]*call{}, true
 	r.mu.Unlock()
 	for k, c := range calls {
 		c.stop()
--- a/io/sched/sched_test.go
+++ b/io/sched/sched_test.go
@@ -31,8 +31,7 @@
 	return &wire.Release{Ticket: d.GetTicket(), Incarnation: "i", Pool: "p", Slot: d.GetGrant().GetSlot(), Owner: d.GetGrant().GetOwner()}
 }
 
-// submit sends a ticket in the background and returns once the call waits or
-// is decided.
+// submit submits a ticket in the background and returns once the call waits or has been decided.
 func submit(ctx context.Context, s *sched.Sched, id uint64) <-chan *wire.Decision {
 	ch := make(chan *wire.Decision, 1)
 	go func() { ch <- s.Submit(ctx, ticket(id)) }()
@@ -44,10 +43,11 @@
 	return &wire.Withdraw{Ticket: id, Entry: "e", Incarnation: "i", Pool: "p"}
 }
 
-// An entry's link breaks while its ticket waits, and it sends the ticket again
-// over a new link. Only then the owner notices the end of the old link. The old
-// call's end must not withdraw the new one: the caller would wait in vain.
-func TestOldLinkEndsLate(t *testing.T) {
+// Guards against the end of an old link withdrawing a ticket that was sent again. An entry's link
+// breaks while its ticket waits, the entry sends the ticket over a new link, and the owner notices
+// the end of the old link afterwards. If this withdrew the ticket, the caller would never get an
+// answer.
+func TestOldCallEndsAfterResubmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSched()
 		busy := s.Submit(t.Context(), ticket(1))
@@ -63,10 +63,9 @@
 	})
 }
 
-// A caller goes away while its ticket is on the way to the owner, and the
-// withdrawal overtakes the ticket. The ticket must not be granted a slot that
-// nobody will use.
-func TestWithdrawalOvertakes(t *testing.T) {
+// Guards against granting a slot to a ticket whose withdrawal arrived first, which happens when the
+// caller disconnects while the ticket is in transit. Such a slot would never be used.
+func TestWithdrawalBeforeTicket(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSched()
 		s.Withdraw(withdraw(1))
@@ -75,8 +74,8 @@
 	})
 }
 
-// A withdrawn ticket's call returns, or each caller that goes away would leave
-// a goroutine at the owner.
+// Guards against a call that does not return after its ticket was withdrawn: each caller that
+// disconnects would leak a goroutine at the owner.
 func TestWithdrawnCallReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSched()
@@ -87,17 +86,17 @@
 	})
 }
 
-// The owner takes the entry in its own process for dead, and the entry then
-// lists the slot that it still holds. The list names the owner; the slot must
-// be taken as the owner's own, or its release would not free it.
-func TestOwnSlotsListed(t *testing.T) {
+// Guards against a release that does not free its slot. The owner falsely declares the entry in its
+// own process dead, and the entry then lists the slot that it still holds. The list names the owner
+// of the slot; the policy must adopt the slot as one that it granted itself.
+func TestHeldListWithOwnSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSched()
 		d := s.Submit(t.Context(), ticket(1))
 		h := &wire.Held{Entry: "e", Incarnation: "i", Slots: []*wire.HeldSlot{{Ticket: ticket(1), Grant: d.GetGrant()}}}
 		s.Forget("i")
 		s.Hold(h)
-		must.Eq(t, "owner", h.GetSlots()[0].GetGrant().GetOwner(), must.Sprint("the entry's list is its own"))
+		must.Eq(t, "owner", h.GetSlots()[0].GetGrant().GetOwner(), must.Sprint("the entry's list must not be modified"))
 		next := submit(t.Context(), s, 2)
 		must.Eq(t, 0, len(next), must.Sprint("the upstream is full"))
 		s.Release(release(d))
@@ -105,15 +104,15 @@
 	})
 }
 
-// A caller goes away in the moment of its grant. Whether the call returns the
-// grant or gives it up, no slot may be lost.
-func TestGoneInTheMomentOfTheGrant(t *testing.T) {
+// Guards against losing a slot when the caller disconnects while its ticket is being granted. The
+// call may return the grant or a refusal, but the slot must become free again.
+func TestCancelDuringGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSched()
-		gone, cancel := context.WithCancel(t.Context())
+		cancelled, cancel := context.WithCancel(t.Context())
 		cancel()
 		for i := range uint64(32) {
-			if d := s.Submit(gone, ticket(2*i)); d.GetGrant() != nil {
+			if d := s.Submit(cancelled, ticket(2*i)); d.GetGrant() != nil {
 				s.Release(release(d))
 			}
 			d := s.Submit(t.Context(), ticket(2*i+1))
@@ -123,24 +122,23 @@
 	})
 }
 
-// A pool moves to another owner and, moments later, back. The entry withdrew
-// its waiting ticket here when the pool went, and now sends it again: it must
-// wait as any other, not be taken for one that its withdrawal has overtaken.
-func TestWithdrawnAndBack(t *testing.T) {
+// Guards against refusing a ticket that is sent again after its withdrawal. A pool moves to another
+// owner and shortly after back. The entry withdrew its waiting ticket when the pool moved away and
+// now sends it again. The withdrawal must not be applied to the second submission.
+func TestResubmitAfterWithdrawal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSched()
 		busy := s.Submit(t.Context(), ticket(1))
 		submit(t.Context(), s, 2)
 		s.Withdraw(withdraw(2))
-		back := submit(t.Context(), s, 2)
+		resubmitted := submit(t.Context(), s, 2)
 		s.Release(release(busy))
-		must.NotNil(t, (<-back).GetGrant())
+		must.NotNil(t, (<-resubmitted).GetGrant())
 	})
 }
 
-// An owner has been idle for long when a ticket comes that has to wait, with a
-// deadline. The refusal must come when the deadline does: an idle owner looks
-// at its queue only five times a second.
+// Guards against a late refusal after an idle period. An idle owner checks its queue only five
+// times a second; a waiting ticket with a deadline must switch it back to TickInterval.
 func TestDeadlineAfterIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSched()
@@ -149,32 +147,32 @@
 		go func() { done <- s.Serve(ctx) }()
 		must.NotNil(t, s.Submit(t.Context(), ticket(1)).GetGrant())
 		for id := uint64(2); id < 5; id++ {
-			time.Sleep(10*sched.IdleEvery + 7*time.Millisecond)
+			time.Sleep(10*sched.IdleTickInterval + 7*time.Millisecond)
 			late := ticket(id)
 			late.DeadlineUs = (33 * time.Millisecond).Microseconds()
 			start := time.Now()
 			must.NotNil(t, s.Submit(t.Context(), late).GetRefusal())
-			must.LessEq(t, 33*time.Millisecond+sched.TickEvery, time.Since(start))
+			must.LessEq(t, 33*time.Millisecond+sched.TickInterval, time.Since(start))
 		}
 		stop()
 		must.ErrorIs(t, <-done, context.Canceled)
 	})
 }
 
-// Guards against tickets that stay with a scheduler that has ended: their entries hear
-// nothing of them until their links end.
-func TestEndAnswersWhatWaits(t *testing.T) {
+// Guards against tickets that are left waiting at a scheduler that has stopped: their entries would
+// get no answer until their links close.
+func TestStopRefusesWaitingTickets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSched()
 		ctx, end := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- s.Serve(ctx) }()
 		must.NotNil(t, s.Submit(t.Context(), ticket(1)).GetGrant())
-		waits := submit(t.Context(), s, 2)
+		waiting := submit(t.Context(), s, 2)
 		end()
 		synctest.Wait()
 		select {
-		case d := <-waits:
+		case d := <-waiting:
 			must.Eq(t, "withdrawn", d.GetRefusal().GetCode())
 			must.Eq(t, 2, d.GetTicket())
 		default:
--- a/io/sched/speeds_test.go
+++ b/io/sched/token_times_test.go
@@ -6,16 +6,17 @@
 
 	"github.com/shoenig/test/must"
 
-	_ "azurelane/core/batch" // Registers the policy that learns.
+	_ "azurelane/core/batch" // Registers a policy that estimates token times.
 	"azurelane/core/conf"
-	_ "azurelane/core/late" // Registers one that tells nothing.
+	_ "azurelane/core/late" // Registers a policy that does not estimate them.
 	"azurelane/core/pool"
 	"azurelane/core/wire"
 )
 
-// An operator asks why long requests are refused: the speeds by which they are placed
-// are told for each upstream of a pool that learns them, and for no other pool.
-func TestSpeedsAreTold(t *testing.T) {
+// Long requests are placed by token times, so operators need the times to find out why such
+// requests are refused. They must be reported for each upstream of a pool whose policy estimates
+// them, and for no other pool.
+func TestTokenTimes(t *testing.T) {
 	s := &Sched{Incarnation: "own"}
 	s.Install(&conf.Config{Pools: map[string]pool.Pool{
 		"engines": {Scheduler: "batch", Slots: 4, EventTokens: 1},
@@ -24,7 +25,7 @@
 	for _, name := range []string{"a", "b"} {
 		s.Announce(&wire.Announce{Upstream: name, Pools: []string{"engines", "plain"}, MaxRunning: 4, LeaseUs: time.Hour.Microseconds(), Seq: 1})
 	}
-	before := s.Speeds()
+	before := s.TokenTimes()
 	must.MapLen(t, 1, before)
 	must.MapLen(t, 2, before["engines"])
 
@@ -35,5 +36,5 @@
 		Ticket: 1, Incarnation: "i", Pool: "engines", Upstream: up, Slot: d.GetGrant().GetSlot(), Owner: "own",
 		Dispatched: true, Whole: true, FirstTokenUs: time.Second.Microseconds(), TotalUs: (3 * time.Second).Microseconds(), Pieces: 101,
 	})
-	must.Greater(t, before["engines"][up], s.Speeds()["engines"][up])
+	must.Greater(t, before["engines"][up], s.TokenTimes()["engines"][up])
 }
