--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -52,7 +52,7 @@
 	owner  *owner.Owner
 	notice *notice.Notice
 	abroad abroad.Abroad
-	grant  *grant.Grant
+	grant  *grant.Client
 	follow *follow.Follow
 	stats  *stats.Stats
 	client *client.Client
@@ -92,7 +92,7 @@
 	e.log = log.WithName("entry")
 	e.mesh = &mesh.Mesh{Listen: certs.Wrap(peers, links), TLS: links, Self: set.Peers, Handle: e.handle, Log: log.WithName("mesh")}
 	e.sched = &sched.Sched{Incarnation: incarnation, Log: log.WithName("sched")}
-	e.owner = &owner.Owner{Mine: e.mine, Sched: e.sched}
+	e.owner = &owner.Owner{Owns: e.mine, Sched: e.sched}
 	e.member = &member.Member{
 		Self: &wire.Member{
 			Node: set.Node, Incarnation: incarnation, Address: set.Peers.String(), DataCentre: set.DataCentre,
@@ -104,8 +104,8 @@
 		Site: set.DataCentre, Beat: e.beat, Replicas: set.Control, Neighbours: e.neighbours, Met: e.abroad.Met, Caller: e.mesh,
 		Install: func(_ uint64, cfg *conf.Config) { e.sched.Install(cfg) }, Log: log.WithName("follow"),
 	}
-	e.grant = &grant.Grant{
-		Self: set.Node, Incarnation: incarnation, Local: desk{e.owner, e.sched}, Members: e, Mesh: e.mesh, Abroad: e.farEntries, Log: log.WithName("grant"),
+	e.grant = &grant.Client{
+		Self: set.Node, Incarnation: incarnation, Local: desk{e.owner, e.sched}, Members: e, Mesh: e.mesh, RemoteEntries: e.farEntries, Log: log.WithName("grant"),
 	}
 	e.notice = &notice.Notice{
 		Owners: e.owners, Alive: e.member.Alive, Mesh: e.mesh, Take: e.sched.Announce, Log: log.WithName("notice"),
--- a/io/entry/handle.go
+++ b/io/entry/handle.go
@@ -47,11 +47,11 @@
 // announcements and the held slots before the waiting tickets, in this order, so
 // that it neither refuses for want of upstreams nor grants what is taken.
 func (e *Entry) changed() {
-	e.owner.Changed()
+	e.owner.OwnershipChanged()
 	ctx, cancel := context.WithTimeout(context.Background(), passLimit)
 	defer cancel()
 	e.notice.Changed(ctx)
-	e.grant.Changed()
+	e.grant.OwnersChanged()
 }
 
 func (e *Entry) handle(ctx context.Context, f *wire.Frame) (*wire.Frame, error) {
@@ -69,7 +69,7 @@
 	case *wire.Frame_Announce:
 		return nil, e.accept(b.Announce)
 	case *wire.Frame_Held:
-		e.owner.Heard(b.Held.GetIncarnation())
+		e.owner.KeepAlive(b.Held.GetIncarnation())
 		e.sched.Hold(b.Held)
 	case *wire.Frame_Probe:
 		e.member.Heard(ctx, b.Probe)
--- a/io/gated/gated.go
+++ b/io/gated/gated.go
@@ -52,7 +52,7 @@
 	log    logr.Logger
 	gate   *gate.Gate
 	watch  *watch.Watch
-	grant  *grant.Grant
+	grant  *grant.Client
 	mesh   *mesh.Mesh
 	client *client.Client
 	sup    *suture.Supervisor
@@ -77,10 +77,10 @@
 		Node: set.Node, Incarnation: incarnation, Centre: set.Centre, Self: set.Peers, Seeds: e.seeds, Mesh: e.mesh,
 		Parse: parse, Log: log.WithName("watch"),
 	}
-	e.grant = &grant.Grant{
+	e.grant = &grant.Client{
 		Self: set.Node, Incarnation: incarnation, Local: none{}, Members: e.watch, Mesh: e.mesh, Log: log.WithName("grant"),
 	}
-	e.watch.Changed, e.watch.Rates = e.grant.Changed, g.Rates
+	e.watch.Changed, e.watch.Rates = e.grant.OwnersChanged, g.Rates
 	e.watch.Crashes, e.watch.Banned = g.Crashes, g.Banned
 	e.watch.Limits, e.watch.Limited = g.Limits, g.Limited
 	g.Node, g.Incarnation, g.Centre = set.Node, incarnation, set.Centre
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -1,4 +1,4 @@
-// Package grant gets slots from the owner of a pool and gives them back.
+// Package grant requests upstream slots from the owner of a pool and releases them.
 package grant
 
 import (
@@ -18,188 +18,191 @@
 )
 
 const (
-	// maxSends bounds how often one ticket is sent. With the pauses between
-	// them it spans the time until a dead owner is replaced; what is still not
-	// answered then is refused, so that a takeover costs at most so many sends
-	// a waiting ticket and no storm.
-	maxSends  = 20
-	sendLimit = time.Second     // For a frame that needs no answer.
-	heldEvery = 2 * time.Second // Between two lists of held slots.
-	// fullEvery is how many of these lists pass between two that describe the
-	// slots. An owner that had one knows them by their tickets; it forgets them
-	// only when it took this entry for dead, and that is mended by the next one.
-	fullEvery = 10
-	// relayAfter is the number of sends to one owner that broke before another
-	// member is asked to pass the ticket on.
-	relayAfter = 3
+	// maxSends is how often one ticket is sent before it is refused. With the backoff between the
+	// sends it covers the time until a dead owner is replaced. The limit prevents a retry storm
+	// during a takeover.
+	maxSends         = 20
+	sendTimeout      = time.Second     // Limit for a one-way frame.
+	heldListInterval = 2 * time.Second // Between two periodic lists of held slots.
+	// fullListEvery is the number of periodic lists per full list, which describes the slots; the
+	// other lists contain ticket numbers only. An owner that has received a full list knows the
+	// slots by their tickets. It forgets them only when it falsely declares this entry dead, and
+	// the next full list repairs this.
+	fullListEvery = 10
+	// relayThreshold is the number of sends to one owner that fail with a broken link before the
+	// ticket is relayed through another member.
+	relayThreshold = 3
 )
 
-// withdrawn is the code of a ticket that its entry has given up.
+// withdrawn is the refusal code of a ticket that its entry has withdrawn.
 const withdrawn = "withdrawn"
 
-var errMoved = errors.New("grant: the pool has moved")
+var errOwnerChanged = errors.New("grant: owner of the pool has changed")
 
-// ErrNoOwner is returned at once while no owner of the pool is known, where
-// Members may return none. The caller then places the request by itself.
+// ErrNoOwner is returned without a wait while the owner of the pool is unknown. The caller then
+// selects an upstream without a scheduler.
 var ErrNoOwner = errors.New("grant: no owner is known")
 
 type (
-	// Grant asks the owner of a pool, in this process or another. Its exported
-	// fields are set before use.
-	Grant struct {
-		Self        string // Node name.
+	// Client requests slots from the owner of a pool, in this process or another. Its exported
+	// fields must be set before use.
+	Client struct {
+		Self        string // Node name of this process.
 		Incarnation string
-		Local       local
-		Members     members
-		Mesh        caller
-		Abroad      func(pool string) []netip.AddrPort // Entries elsewhere to ask when no upstream is here; nil for none.
-		Log         logr.Logger
+		Local       scheduler // Of this process, for the pools that it owns.
+		Members     membership
+		Mesh        transport
+		// RemoteEntries returns the entries of other data centres to ask, in order, when the pool
+		// has no upstream in this one. Nil if there are none.
+		RemoteEntries func(pool string) []netip.AddrPort
+		Log           logr.Logger
 
-		mu    sync.Mutex
-		waits map[*wait]struct{}
-		held  held.Held
-		told  map[string]string // Owner's incarnation that had the list of a pool last.
-		lists int               // Periodic lists so far.
-		fars  map[netip.AddrPort]*far
-		where map[uint64]*far // By ticket.
+		mu             sync.Mutex
+		pending        map[*pendingCall]struct{}
+		held           held.Held
+		lastListOwner  map[string]string // Incarnation that received the last list of a pool.
+		listRounds     int               // Periodic lists sent so far.
+		remotes        map[netip.AddrPort]*remoteSlots
+		remoteByTicket map[uint64]*remoteSlots // By ticket number.
 
 		stopped bool
 		wg      sync.WaitGroup
 	}
 
-	// wait is one call that waits for an owner's decision.
-	wait struct {
+	// pendingCall is a call that waits for the decision of an owner.
+	pendingCall struct {
 		pool   string
 		owner  string // Incarnation.
 		cancel context.CancelCauseFunc
 	}
 
-	local interface {
+	scheduler interface {
 		Submit(ctx context.Context, t *wire.Ticket) (*wire.Decision, error)
 		Release(r *wire.Release)
 		Hold(h *wire.Held)
 	}
 
-	members interface {
+	membership interface {
 		Owner(pool string) *wire.Member // Nil while none is known.
 		Alive() []*wire.Member
 	}
 
-	caller interface {
+	transport interface {
 		Call(ctx context.Context, to netip.AddrPort, f *wire.Frame) (*wire.Frame, error)
 		Send(ctx context.Context, to netip.AddrPort, f *wire.Frame) error
 	}
 )
 
-// Grant waits for a slot. The error is a *refuse.Error when the owner said no,
-// or the context's error when the caller went away.
-func (g *Grant) Grant(ctx context.Context, t *wire.Ticket) (*wire.Grant, error) {
+// Grant waits for a slot. The error is a *refuse.Error if the ticket was refused, ErrNoOwner, or
+// the context's error if the caller has disconnected.
+func (g *Client) Grant(ctx context.Context, t *wire.Ticket) (*wire.Grant, error) {
 	start := time.Now()
-	r, err := g.home(ctx, t, start)
-	if g.Abroad != nil && !t.GetAbroad() && noUpstream(err) {
-		return g.abroad(ctx, t, start, err)
+	r, err := g.grantInDataCentre(ctx, t, start)
+	if g.RemoteEntries != nil && !t.GetAbroad() && isNoUpstream(err) {
+		return g.grantRemote(ctx, t, start, err)
 	}
 	return r, err
 }
 
-// home asks in this data centre.
-func (g *Grant) home(ctx context.Context, t *wire.Ticket, start time.Time) (*wire.Grant, error) {
-	broken := map[string]int{} // Sends to an owner, by incarnation, whose link broke.
+// grantInDataCentre requests a slot from the pool's owner in this data centre.
+func (g *Client) grantInDataCentre(ctx context.Context, t *wire.Ticket, start time.Time) (*wire.Grant, error) {
+	linkFailures := map[string]int{} // Failed sends with a broken link, by owner's incarnation.
 	for n := range maxSends {
-		if err := pause(ctx, n); err != nil {
+		if err := backoff(ctx, n); err != nil {
 			return nil, err
 		}
-		now := aged(t, time.Since(start))
-		if now == nil {
+		current := withElapsed(t, time.Since(start))
+		if current == nil {
 			return nil, refuse.New(refuse.Deadline, "no scheduler answered in time", time.Second)
 		}
-		d, err := g.ask(ctx, now, broken)
+		d, err := g.askOwner(ctx, current, linkFailures)
 		if errors.Is(err, ErrNoOwner) {
 			return nil, err
 		}
 		if err == nil && d.GetRefusal().GetCode() == withdrawn {
-			err = errMoved // Of a former send: the pool has come back to that owner since.
+			err = errOwnerChanged // Refusal of an earlier send; the pool has returned to that owner since.
 		}
 		if err == nil {
-			return g.decided(now, d)
+			return g.handleDecision(current, d)
 		}
 		if ctx.Err() != nil {
 			return nil, fmt.Errorf("grant: %w", ctx.Err())
 		}
-		g.Log.V(1).Info("Owner did not answer.", "pool", t.GetPool(), "err", err.Error())
+		g.Log.V(1).Info("Pool owner did not decide on the ticket.", "pool", t.GetPool(), "err", err.Error())
 	}
 	return nil, refuse.New(refuse.NoUpstream, "no scheduler of the pool answered", time.Second)
 }
 
-// aged returns the ticket as it stands after some time: the deadline is that
-// much nearer and the wait that much longer. Both count from the first send, so
-// a ticket sent five times loses no time twice. It returns nil when the deadline
-// has passed. It is a copy, because the owner of a former send may be this
-// process and still hold the former one.
-func aged(t *wire.Ticket, passed time.Duration) *wire.Ticket {
+// withElapsed returns a copy of the ticket with its times moved on by the elapsed time: less time
+// to the deadline and the objective, more time waited. It returns nil if the deadline has passed.
+// The elapsed time counts from the first send, so that time is counted once however often the
+// ticket is sent. It copies the ticket because the owner of an earlier send may be in this process
+// and still use it.
+func withElapsed(t *wire.Ticket, elapsed time.Duration) *wire.Ticket {
 	c := proto.CloneOf(t)
-	c.WaitedUs += passed.Microseconds()
+	c.WaitedUs += elapsed.Microseconds()
 	if t.GetObjectiveUs() != 0 {
-		c.ObjectiveUs -= passed.Microseconds()
+		c.ObjectiveUs -= elapsed.Microseconds()
 	}
 	if t.GetDeadlineUs() == 0 {
 		return c
 	}
-	c.DeadlineUs -= passed.Microseconds()
+	c.DeadlineUs -= elapsed.Microseconds()
 	if c.GetDeadlineUs() <= 0 {
 		return nil
 	}
 	return c
 }
 
-// ask sends the ticket to the owner of now, once. It gives up when the pool
-// moves: a decision of the former owner that arrives later goes to a call that
-// no longer exists, so its grant can't be used.
-func (g *Grant) ask(ctx context.Context, t *wire.Ticket, broken map[string]int) (*wire.Decision, error) {
+// askOwner sends the ticket once to the pool's current owner and waits for the decision. It gives
+// up when the pool's owner changes. A late decision of the previous owner then finds no call, so
+// its grant is not used.
+func (g *Client) askOwner(ctx context.Context, t *wire.Ticket, linkFailures map[string]int) (*wire.Decision, error) {
 	m := g.Members.Owner(t.GetPool())
 	if m == nil {
 		return nil, ErrNoOwner
 	}
 	cctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	w := &wait{t.GetPool(), m.GetIncarnation(), cancel}
-	g.enter(w)
-	defer g.leave(w)
-	if now := g.Members.Owner(t.GetPool()); now == nil || now.GetIncarnation() != m.GetIncarnation() {
-		return nil, errMoved
+	w := &pendingCall{t.GetPool(), m.GetIncarnation(), cancel}
+	g.addCall(w)
+	defer g.removeCall(w)
+	if current := g.Members.Owner(t.GetPool()); current == nil || current.GetIncarnation() != m.GetIncarnation() {
+		return nil, errOwnerChanged
 	}
 	if m.GetNode() == g.Self {
 		return g.Local.Submit(cctx, t)
 	}
 	f := &wire.Frame{Body: &wire.Frame_Ticket{Ticket: t}}
-	relayed := broken[m.GetIncarnation()] >= relayAfter
-	r, err := g.call(cctx, m, f, relayed)
+	relayed := linkFailures[m.GetIncarnation()] >= relayThreshold
+	r, err := g.callMember(cctx, m, f, relayed)
 	if err == nil {
 		return r.GetDecision(), nil
 	}
 	if cctx.Err() != nil {
-		// The owner may grant in this moment: the withdrawal frees that slot too.
+		// The owner may grant the ticket concurrently; the withdrawal then frees the slot.
 		g.withdraw(ctx, m, t, relayed)
 		return nil, context.Cause(cctx)
 	}
 	if fault := (*wire.Fault)(nil); !errors.As(err, &fault) {
-		broken[m.GetIncarnation()]++
+		linkFailures[m.GetIncarnation()]++
 	}
 	return nil, err
 }
 
-// call sends to a member itself, or through another one when its own link to
-// it keeps breaking. In an asymmetric cut the owner is alive for all others and
-// stays the owner, so without the detour this entry could use none of its pools.
-func (g *Grant) call(ctx context.Context, m *wire.Member, f *wire.Frame, relayed bool) (*wire.Frame, error) {
-	to, f, err := g.way(m, f, relayed)
+// callMember calls a member directly or, if relayed, through another member. In an asymmetric
+// network partition the other members still reach the owner, so it stays the owner; without a relay
+// this entry could not use the owner's pools.
+func (g *Client) callMember(ctx context.Context, m *wire.Member, f *wire.Frame, relayed bool) (*wire.Frame, error) {
+	to, f, err := g.route(m, f, relayed)
 	if err != nil {
 		return nil, err
 	}
 	return g.Mesh.Call(ctx, to, f)
 }
 
-func (g *Grant) way(m *wire.Member, f *wire.Frame, relayed bool) (netip.AddrPort, *wire.Frame, error) {
+// route returns the address and the frame to send to reach a member directly or through a relay.
+func (g *Client) route(m *wire.Member, f *wire.Frame, relayed bool) (netip.AddrPort, *wire.Frame, error) {
 	via := m
 	if relayed {
 		for _, o := range g.Members.Alive() {
@@ -217,13 +220,13 @@
 	return to, f, nil
 }
 
-func (g *Grant) withdraw(ctx context.Context, m *wire.Member, t *wire.Ticket, relayed bool) {
+func (g *Client) withdraw(ctx context.Context, m *wire.Member, t *wire.Ticket, relayed bool) {
 	f := &wire.Frame{Body: &wire.Frame_Withdraw{Withdraw: &wire.Withdraw{
 		Ticket: t.GetId(), Entry: t.GetEntry(), Incarnation: t.GetIncarnation(), Pool: t.GetPool(),
 	}}}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), sendLimit)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), sendTimeout)
 	defer cancel()
-	to, f, err := g.way(m, f, relayed)
+	to, f, err := g.route(m, f, relayed)
 	if err == nil {
 		err = g.Mesh.Send(ctx, to, f)
 	}
@@ -232,11 +235,10 @@
 	}
 }
 
-// Release gives a slot back to the pool's owner of now. An owner that did not
-// grant it ignores a slot that it does not know. A release that is lost is
-// covered by the next list of held slots.
-func (g *Grant) Release(r *wire.Release) {
-	if g.releaseFar(r) {
+// Release returns a slot to the pool's current owner. An owner ignores the release of a slot that
+// it does not know. If a release is lost, the next list of held slots frees the slot.
+func (g *Client) Release(r *wire.Release) {
+	if g.releaseRemote(r) {
 		return
 	}
 	g.mu.Lock()
@@ -244,30 +246,31 @@
 	g.mu.Unlock()
 	m := g.Members.Owner(r.GetPool())
 	if m == nil {
-		return // The next owner gets the list of what is still held.
+		return // The next owner receives a list without this slot.
 	}
 	if m.GetNode() == g.Self {
 		g.Local.Release(r)
 		return
 	}
-	g.send(m, &wire.Frame{Body: &wire.Frame_Release{Release: r}})
+	g.sendToOwner(m, &wire.Frame{Body: &wire.Frame_Release{Release: r}})
 }
 
-func (g *Grant) send(m *wire.Member, f *wire.Frame) {
-	ctx, cancel := context.WithTimeout(context.Background(), sendLimit)
+func (g *Client) sendToOwner(m *wire.Member, f *wire.Frame) {
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	to, err := netip.ParseAddrPort(m.GetAddress())
 	if err == nil {
 		err = g.Mesh.Send(ctx, to, f)
 	}
 	if err != nil {
-		g.Log.V(1).Info("Not sent to the owner.", "owner", m.GetNode(), "err", err.Error())
+		g.Log.V(1).Info("Frame not sent to the pool owner.", "owner", m.GetNode(), "err", err.Error())
 	}
 }
 
-func (g *Grant) decided(t *wire.Ticket, d *wire.Decision) (*wire.Grant, error) {
+// handleDecision records a granted slot as held, or returns the refusal as an error.
+func (g *Client) handleDecision(t *wire.Ticket, d *wire.Decision) (*wire.Grant, error) {
 	if r := d.GetRefusal(); r != nil {
-		return nil, refusal(r)
+		return nil, refusalError(r)
 	}
 	if d.GetGrant() != nil {
 		g.mu.Lock()
@@ -277,21 +280,21 @@
 	return d.GetGrant(), nil
 }
 
-func refusal(r *wire.Refusal) *refuse.Error {
+func refusalError(r *wire.Refusal) *refuse.Error {
 	return refuse.New(r.GetCode(), "", time.Duration(r.GetRetryAfterUs())*time.Microsecond)
 }
 
-func (g *Grant) enter(w *wait) {
+func (g *Client) addCall(w *pendingCall) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.waits == nil {
-		g.waits = map[*wait]struct{}{}
+	if g.pending == nil {
+		g.pending = map[*pendingCall]struct{}{}
 	}
-	g.waits[w] = struct{}{}
+	g.pending[w] = struct{}{}
 }
 
-func (g *Grant) leave(w *wait) {
+func (g *Client) removeCall(w *pendingCall) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.waits, w)
+	delete(g.pending, w)
 }
--- a/io/grant/grant_test.go
+++ b/io/grant/grant_test.go
@@ -19,20 +19,20 @@
 )
 
 var (
-	errLink = errors.New("link down")
-	alice   = &wire.Member{Node: "alice", Incarnation: "a1", Address: "127.0.0.1:1"}
-	bob     = &wire.Member{Node: "bob", Incarnation: "b1", Address: "127.0.0.1:2"}
-	carol   = &wire.Member{Node: "carol", Incarnation: "c1", Address: "127.0.0.1:3"}
+	errLinkDown = errors.New("link down")
+	alice       = &wire.Member{Node: "alice", Incarnation: "a1", Address: "127.0.0.1:1"}
+	bob         = &wire.Member{Node: "bob", Incarnation: "b1", Address: "127.0.0.1:2"}
+	carol       = &wire.Member{Node: "carol", Incarnation: "c1", Address: "127.0.0.1:3"}
 )
 
-// fake is the rest of the data centre, seen from alice.
+// fake stands in for the owner, the other members and the network, as seen by alice.
 type fake struct {
-	mu    sync.Mutex
-	owner *wire.Member
-	call  func(ctx context.Context, to netip.AddrPort, f *wire.Frame) (*wire.Frame, error)
-	sends []*wire.Frame
-	deaf  bool // One-way frames are lost.
-	local []*wire.Held
+	mu         sync.Mutex
+	owner      *wire.Member
+	call       func(ctx context.Context, to netip.AddrPort, f *wire.Frame) (*wire.Frame, error)
+	sends      []*wire.Frame
+	dropSends  bool // One-way frames are lost.
+	localLists []*wire.Held
 }
 
 func (f *fake) Owner(string) *wire.Member {
@@ -50,8 +50,8 @@
 func (f *fake) Send(_ context.Context, _ netip.AddrPort, m *wire.Frame) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.deaf {
-		return errLink
+	if f.dropSends {
+		return errLinkDown
 	}
 	f.sends = append(f.sends, m)
 	return nil
@@ -62,9 +62,9 @@
 	return nil, ctx.Err()
 }
 func (f *fake) Release(*wire.Release) {}
-func (f *fake) Hold(h *wire.Held)     { f.local = append(f.local, h) }
+func (f *fake) Hold(h *wire.Held)     { f.localLists = append(f.localLists, h) }
 
-func (f *fake) lists() []*wire.Held {
+func (f *fake) heldLists() []*wire.Held {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []*wire.Held
@@ -76,9 +76,9 @@
 	return list
 }
 
-// listed names the tickets of the newest list, in either form.
-func (f *fake) listed() []uint64 {
-	list := f.lists()
+// lastListedTickets returns the sorted tickets of the newest list, full or not.
+func (f *fake) lastListedTickets() []uint64 {
+	list := f.heldLists()
 	last := list[len(list)-1]
 	ids := slices.Clone(last.GetTickets())
 	for _, s := range last.GetSlots() {
@@ -88,21 +88,20 @@
 	return ids
 }
 
-func (f *fake) grant() *Grant {
-	return &Grant{Self: "alice", Incarnation: "a1", Local: f, Members: f, Mesh: f}
+func (f *fake) client() *Client {
+	return &Client{Self: "alice", Incarnation: "a1", Local: f, Members: f, Mesh: f}
 }
 
-func granted(t *wire.Ticket, slot uint64) *wire.Frame {
+func grantFrame(t *wire.Ticket, slot uint64) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_Decision{Decision: &wire.Decision{
 		Ticket: t.GetId(), Kind: &wire.Decision_Grant{Grant: &wire.Grant{Slot: slot, Owner: "b1", Upstream: "e"}},
 	}}}
 }
 
-// The owner can't be reached four times. The ticket had waited three seconds
-// before it came here. Whatever is sent, what is left of the deadline and what
-// was waited add up to the same; else a ticket loses its place or its time
-// with each send.
-func TestDeadlineCountsOnce(t *testing.T) {
+// Guards against a ticket that loses its place in the queue or part of its deadline with each send.
+// The first four sends to the owner fail, and the ticket had waited for 3 s before. In each send,
+// the time to the deadline and the time waited must add up to the same sum.
+func TestDeadlineSpansSends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fake{owner: bob}
 		start := time.Now()
@@ -116,36 +115,36 @@
 			must.Eq(t, 3_000_000+passed, m.GetTicket().GetWaitedUs())
 			if n++; n < 5 {
 				time.Sleep(300 * time.Millisecond)
-				return nil, errLink
+				return nil, errLinkDown
 			}
-			return granted(m.GetTicket(), 1), nil
+			return grantFrame(m.GetTicket(), 1), nil
 		}
 		own := &wire.Ticket{Id: 1, Pool: "p", DeadlineUs: 10_000_000, WaitedUs: 3_000_000}
-		_, err := f.grant().Grant(t.Context(), own)
+		_, err := f.client().Grant(t.Context(), own)
 		must.NoError(t, err)
 		must.Eq(t, 3_000_000, own.GetWaitedUs())
 	})
 }
 
-// Bob is frozen while a ticket waits at it. Carol takes over: alice lets go of
-// the call at once, without a link's time limit, and asks carol. Bob then wakes
-// up and grants the old call; that grant is not used, only carol's is.
+// Guards against using the late grant of a previous owner. Bob freezes while a ticket waits there,
+// and carol takes over. Alice must cancel the call at once, without waiting for a link timeout, and
+// ask carol. Bob then resumes and grants the old call; only carol's grant may be used.
 func TestFrozenOwnerLateGrant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fake{owner: bob}
-		woke := make(chan struct{})
+		resumed := make(chan struct{})
 		f.call = func(ctx context.Context, to netip.AddrPort, m *wire.Frame) (*wire.Frame, error) {
 			if to.String() == carol.GetAddress() {
-				return granted(m.GetTicket(), 7), nil
+				return grantFrame(m.GetTicket(), 7), nil
 			}
 			select {
-			case <-woke:
-				return granted(m.GetTicket(), 666), nil
+			case <-resumed:
+				return grantFrame(m.GetTicket(), 666), nil
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
 		}
-		g := f.grant()
+		g := f.client()
 		got := make(chan *wire.Grant, 2)
 		go func() {
 			r, _ := g.Grant(t.Context(), &wire.Ticket{Id: 1, Pool: "p"})
@@ -156,19 +155,20 @@
 		f.owner = carol
 		f.mu.Unlock()
 		start := time.Now()
-		g.Changed()
+		g.OwnersChanged()
 		must.Eq(t, uint64(7), (<-got).GetSlot())
 		must.Less(t, 100*time.Millisecond, time.Since(start))
-		close(woke)
+		close(resumed)
 		synctest.Wait()
 		must.Eq(t, 0, len(got))
-		must.NotNil(t, f.sends[0].GetWithdraw()) // So bob's queue holds it no longer.
+		must.NotNil(t, f.sends[0].GetWithdraw()) // Removes the ticket from bob's queue.
 	})
 }
 
-// An owner is gone and no other takes over. 500 tickets wait. Each is sent a
-// bounded number of times and then refused: no storm, and nothing kept for ever.
-func TestNoStorm(t *testing.T) {
+// Guards against a retry storm and tickets that wait forever. The owner is lost, no other member
+// takes over, and 500 tickets wait. Each must be sent a bounded number of times and then be
+// refused.
+func TestSendsPerTicketAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fake{owner: bob}
 		sends := 0
@@ -176,9 +176,9 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			sends++
-			return nil, errLink
+			return nil, errLinkDown
 		}
-		g := f.grant()
+		g := f.client()
 		start := time.Now()
 		var wg sync.WaitGroup
 		for i := range 500 {
@@ -192,85 +192,86 @@
 		}
 		wg.Wait()
 		must.Eq(t, 500*maxSends, sends)
-		must.GreaterEq(t, 3500*time.Millisecond, time.Since(start)) // Spread; longer than a takeover takes.
+		// The sends must be spread over more time than a takeover takes.
+		must.GreaterEq(t, 3500*time.Millisecond, time.Since(start))
 	})
 }
 
-// Alice can't reach bob, but bob is alive for all others and stays the owner.
-// After three broken sends another member passes the ticket on.
-func TestAsymmetricCutIsRelayed(t *testing.T) {
+// Guards against an entry that can't use a pool because only its own link to the owner is broken.
+// Alice can't reach bob, but all others can, so bob stays the owner. After three failed sends the
+// ticket must be relayed through another member.
+func TestAsymmetricPartitionIsRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fake{owner: bob}
 		direct := 0
 		f.call = func(_ context.Context, to netip.AddrPort, m *wire.Frame) (*wire.Frame, error) {
 			if to.String() == bob.GetAddress() {
 				direct++
-				return nil, errLink
+				return nil, errLinkDown
 			}
 			must.Eq(t, carol.GetAddress(), to.String())
 			must.Eq(t, bob.GetAddress(), m.GetRelay().GetTo())
-			return granted(m.GetRelay().GetFrame().GetTicket(), 3), nil
+			return grantFrame(m.GetRelay().GetFrame().GetTicket(), 3), nil
 		}
-		r, err := f.grant().Grant(t.Context(), &wire.Ticket{Id: 1, Pool: "p"})
+		r, err := f.client().Grant(t.Context(), &wire.Ticket{Id: 1, Pool: "p"})
 		must.NoError(t, err)
 		must.Eq(t, uint64(3), r.GetSlot())
-		must.Eq(t, relayAfter, direct)
+		must.Eq(t, relayThreshold, direct)
 	})
 }
 
-// The release of a slot is lost with its link. The owner would count the slot
-// as taken for ever; the next list, which lacks it, says otherwise. A new owner
-// gets the whole list at once, also of slots that are new.
-func TestHeldCoversLostRelease(t *testing.T) {
+// Guards against a slot that stays taken forever because its release was lost with a link. The next
+// list, which does not contain the slot, must free it. A new owner must get the full list at once,
+// including slots that were granted recently.
+func TestHeldListRepairsLostRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fake{owner: bob}
 		f.call = func(_ context.Context, _ netip.AddrPort, m *wire.Frame) (*wire.Frame, error) {
-			return granted(m.GetTicket(), m.GetTicket().GetId()), nil
+			return grantFrame(m.GetTicket(), m.GetTicket().GetId()), nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		g := f.grant()
+		g := f.client()
 		go func() { _ = g.Serve(ctx) }()
 		for id := range uint64(2) {
 			_, err := g.Grant(ctx, &wire.Ticket{Id: id + 1, Incarnation: "a1", Pool: "p"})
 			must.NoError(t, err)
 		}
 		time.Sleep(4500 * time.Millisecond)
-		must.Eq(t, []uint64{1, 2}, f.listed())
+		must.Eq(t, []uint64{1, 2}, f.lastListedTickets())
 
 		f.mu.Lock()
-		f.deaf = true
+		f.dropSends = true
 		f.mu.Unlock()
 		g.Release(&wire.Release{Ticket: 1, Pool: "p", Slot: 1})
 		f.mu.Lock()
-		f.deaf = false
+		f.dropSends = false
 		f.mu.Unlock()
-		time.Sleep(heldEvery)
-		must.Eq(t, []uint64{2}, f.listed())
-		must.Len(t, 0, f.lists()[len(f.lists())-1].GetSlots(), must.Sprint("an owner that had the list gets tickets alone"))
+		time.Sleep(heldListInterval)
+		must.Eq(t, []uint64{2}, f.lastListedTickets())
+		must.Len(t, 0, f.heldLists()[len(f.heldLists())-1].GetSlots(), must.Sprint("an owner that has received the full list gets ticket numbers only"))
 		full := 0
-		time.Sleep(fullEvery * heldEvery)
-		for _, h := range f.lists() {
+		time.Sleep(fullListEvery * heldListInterval)
+		for _, h := range f.heldLists() {
 			full += min(len(h.GetSlots()), 1)
 		}
-		must.GreaterEq(t, 2, full, must.Sprint("now and then it gets the whole list again"))
-		must.Eq(t, []uint64{2}, f.listed())
+		must.GreaterEq(t, 2, full, must.Sprint("it gets the full list again periodically"))
+		must.Eq(t, []uint64{2}, f.lastListedTickets())
 
 		_, err := g.Grant(ctx, &wire.Ticket{Id: 3, Incarnation: "a1", Pool: "p"})
 		must.NoError(t, err)
 		f.mu.Lock()
 		f.owner = carol
 		f.mu.Unlock()
-		g.Changed()
+		g.OwnersChanged()
 		synctest.Wait()
-		must.Len(t, 2, f.lists()[len(f.lists())-1].GetSlots())
+		must.Len(t, 2, f.heldLists()[len(f.heldLists())-1].GetSlots())
 		cancel()
 	})
 }
 
-// A ticket is sent some milliseconds after it was made. Its times have moved on,
-// and the scheduler gets all else that it says: a field that got lost on the way
-// would be missed by no other test, for each part works without it.
-func TestAgedTicketIsWhole(t *testing.T) {
+// Guards against a ticket field that is not copied when the ticket's times are adjusted before a
+// send. No other test would notice a lost field, because each part works without it.
+func TestWithElapsedKeepsAllFields(t *testing.T) {
 	all := &wire.Ticket{DeadlineUs: 9000, WaitedUs: 100, ObjectiveUs: 500}
 	fields := all.ProtoReflect()
 	for i := range fields.Descriptor().Fields().Len() {
@@ -282,22 +283,22 @@
 		case f.IsList():
 			fields.Mutable(f).List().Append(protoreflect.ValueOfString("x"))
 		default:
-			fields.Set(f, sample(t, f))
+			fields.Set(f, nonZeroValue(t, f))
 		}
 	}
-	c := aged(all, 400*time.Microsecond)
+	c := withElapsed(all, 400*time.Microsecond)
 	must.Eq(t, 8600, c.GetDeadlineUs())
 	must.Eq(t, 500, c.GetWaitedUs())
 	must.Eq(t, 100, c.GetObjectiveUs())
 	c.DeadlineUs, c.WaitedUs, c.ObjectiveUs = all.GetDeadlineUs(), all.GetWaitedUs(), all.GetObjectiveUs()
 	must.True(t, proto.Equal(all, c), must.Sprint(c))
-	must.Nil(t, aged(all, time.Second))
+	must.Nil(t, withElapsed(all, time.Second))
 }
 
-// sample is a value of a field that is not its zero.
-func sample(t *testing.T, f protoreflect.FieldDescriptor) protoreflect.Value {
+// nonZeroValue returns a value for the field that is not its zero value.
+func nonZeroValue(t *testing.T, f protoreflect.FieldDescriptor) protoreflect.Value {
 	t.Helper()
-	switch f.Kind() { //nolint:exhaustive // What tickets have; others fail.
+	switch f.Kind() { //nolint:exhaustive // The kinds that tickets use; others fail the test.
 	case protoreflect.BytesKind:
 		return protoreflect.ValueOfBytes([]byte("x"))
 	case protoreflect.StringKind:
@@ -313,6 +314,6 @@
 	case protoreflect.EnumKind:
 		return protoreflect.ValueOfEnum(1)
 	}
-	t.Fatalf("field %s: a sample of its kind is missing here", f.Name())
+	t.Fatalf("field %s: no sample value for its kind", f.Name())
 	return protoreflect.Value{}
 }
--- a/io/grant/abroad_test.go
+++ b/io/grant/remote_test.go
@@ -14,23 +14,23 @@
 	"azurelane/core/wire"
 )
 
-func refused(t *wire.Ticket, code string) *wire.Frame {
+func refusalFrame(t *wire.Ticket, code string) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_Decision{Decision: &wire.Decision{
 		Ticket: t.GetId(), Kind: &wire.Decision_Refusal{Refusal: &wire.Refusal{Code: code, RetryAfterUs: 1_000_000}},
 	}}}
 }
 
-// No upstream of the pool is left here. The ticket goes to the other data
-// centres in the order of the configuration, past an entry that is gone, and the
-// slot goes back by the way it came. Any other refusal at home or there is
-// final, and a ticket that came from abroad is not sent on: it would go round.
-func TestAbroad(t *testing.T) {
-	gone, far, third := netip.MustParseAddrPort("127.0.0.1:7"), netip.MustParseAddrPort("127.0.0.1:8"), netip.MustParseAddrPort("127.0.0.1:9")
+// When the pool has no upstream in this data centre, the ticket is sent to the other data centres
+// in the configured order, skipping an unreachable entry, and the slot is released through the same
+// entry. Any other refusal, here or there, is final. A ticket that came from another data centre is
+// not sent on, which prevents loops.
+func TestRemoteDataCentres(t *testing.T) {
+	unreachable, remote, third := netip.MustParseAddrPort("127.0.0.1:7"), netip.MustParseAddrPort("127.0.0.1:8"), netip.MustParseAddrPort("127.0.0.1:9")
 	for _, tc := range []struct {
-		name, home, far string
-		abroad          bool
-		want            string // Code of the refusal; empty for a grant.
-		asked           int
+		name, localCode, remoteCode string
+		fromRemote                  bool
+		want                        string // Code of the refusal; empty for a grant.
+		asked                       int
 	}{
 		{"granted", refuse.NoUpstream, "", false, "", 2},
 		{"none anywhere", refuse.NoUpstream, refuse.NoUpstream, false, refuse.NoUpstream, 3},
@@ -47,19 +47,19 @@
 						asked++
 						must.Eq(t, "p", r.GetPool())
 						must.True(t, r.GetFrame().GetTicket().GetAbroad())
-						if to == gone {
-							return nil, errLink
+						if to == unreachable {
+							return nil, errLinkDown
 						}
-						if tc.far != "" {
-							return refused(r.GetFrame().GetTicket(), tc.far), nil
+						if tc.remoteCode != "" {
+							return refusalFrame(r.GetFrame().GetTicket(), tc.remoteCode), nil
 						}
-						return granted(r.GetFrame().GetTicket(), 5), nil
+						return grantFrame(r.GetFrame().GetTicket(), 5), nil
 					}
-					return refused(m.GetTicket(), tc.home), nil
+					return refusalFrame(m.GetTicket(), tc.localCode), nil
 				}
-				g := f.grant()
-				g.Abroad = func(string) []netip.AddrPort { return []netip.AddrPort{gone, far, third} }
-				r, err := g.Grant(t.Context(), &wire.Ticket{Id: 1, Pool: "p", Abroad: tc.abroad})
+				g := f.client()
+				g.RemoteEntries = func(string) []netip.AddrPort { return []netip.AddrPort{unreachable, remote, third} }
+				r, err := g.Grant(t.Context(), &wire.Ticket{Id: 1, Pool: "p", Abroad: tc.fromRemote})
 				must.Eq(t, tc.asked, asked)
 				if tc.want != "" {
 					var re *refuse.Error
@@ -69,17 +69,17 @@
 				}
 				must.NoError(t, err)
 				must.Eq(t, uint64(5), r.GetSlot())
-				g.tellFar()
+				g.sendRemoteHeldLists()
 				synctest.Wait()
 				must.Len(t, 1, f.sends[0].GetRelay().GetFrame().GetHeld().GetSlots())
 				g.Release(&wire.Release{Ticket: 1, Pool: "p", Slot: 5})
 				must.NotNil(t, f.sends[1].GetRelay().GetFrame().GetRelease())
-				g.tellFar()
+				g.sendRemoteHeldLists()
 				synctest.Wait()
 				must.SliceEmpty(t, f.sends[2].GetRelay().GetFrame().GetHeld().GetSlots())
 				time.Sleep(time.Minute)
-				g.tellFar()
-				must.Len(t, 3, f.sends) // Nothing more to say.
+				g.sendRemoteHeldLists()
+				must.Len(t, 3, f.sends) // No further list is due.
 			})
 		})
 	}
--- a/io/owner/owner.go
+++ b/io/owner/owner.go
@@ -1,5 +1,5 @@
-// Package owner answers the tickets of all entries for the pools that this
-// process owns, and lets go of them when it owns a pool no longer.
+// Package owner accepts tickets of all entries for the pools that this process owns, and cancels
+// them when the process loses the ownership of a pool.
 package owner
 
 import (
@@ -14,33 +14,33 @@
 )
 
 const (
-	// Settle is how long a new owner waits to hear of upstreams before it says
-	// that there are none. Entries pass on the announcements that they know at
-	// once, and every upstream announces itself anew within a second, so after
-	// this time what is unknown is not there. Without it, each takeover refuses
-	// the tickets that arrive before the first announcement.
-	Settle = 1500 * time.Millisecond
-	retry  = 50 * time.Millisecond
-	// FarSilence is how long an entry of another data centre may send no list
-	// of the slots that it holds. No member here probes it, so nothing else would
-	// tell that it died or is cut off, and its slots would stay taken.
-	FarSilence = 15 * time.Second
-	lookEvery  = time.Second
+	// UpstreamDiscovery is how long a new owner waits for announcements of upstreams before it
+	// refuses tickets because there are none. Entries forward the announcements that they know at
+	// once, and every upstream announces itself again within 1 s, so an upstream that is still
+	// unknown after this time is not available. Without the wait, each takeover would refuse the
+	// tickets that arrive before the first announcement.
+	UpstreamDiscovery = 1500 * time.Millisecond
+	retryInterval     = 50 * time.Millisecond
+	// RemoteTimeout is how long an entry of another data centre may omit its list of held slots
+	// before its slots are freed. The members of this data centre don't probe it, so only missing
+	// lists show that it has crashed or is unreachable; its slots would otherwise stay taken.
+	RemoteTimeout  = 15 * time.Second
+	expiryInterval = time.Second
 )
 
-var errMoved = errors.New("owner: the pool has moved")
+var errResubmit = errors.New("owner: ticket must be sent to the current owner of the pool")
 
 type (
-	// Owner stands before the schedulers of this process. Its exported fields
-	// are set before use.
+	// Owner accepts tickets for the schedulers of this process. Its exported fields must be set
+	// before use.
 	Owner struct {
-		Mine  func(pool string) bool
-		Sched schedulers
+		Owns  func(pool string) bool
+		Sched scheduler
 
-		mu    sync.Mutex
-		calls map[*call]struct{}
-		since map[string]time.Time // When a pool became this process's.
-		far   map[string]time.Time // Incarnations of other data centres, when last heard.
+		mu            sync.Mutex
+		calls         map[*call]struct{}
+		ownedSince    map[string]time.Time // Time of the first ticket since the process took over a pool.
+		remoteHeardAt map[string]time.Time // By incarnation of an entry in another data centre.
 	}
 
 	call struct {
@@ -48,93 +48,95 @@
 		cancel context.CancelCauseFunc
 	}
 
-	schedulers interface {
+	scheduler interface {
 		Submit(ctx context.Context, t *wire.Ticket) *wire.Decision
 		Forget(incarnation string)
 	}
 )
 
-// Submit waits for the decision on a ticket. The error is a *wire.Fault with
-// wire.CodeMoved when the pool is or becomes another member's.
+// Submit waits for the decision on a ticket. The error is a *wire.Fault with wire.CodeMoved if
+// another member owns the pool or takes it over, or if Forget is called for the ticket's entry.
 func (o *Owner) Submit(ctx context.Context, t *wire.Ticket) (*wire.Decision, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	c := &call{t, cancel}
-	since := o.enter(c)
-	defer o.leave(c)
-	// Only now: a change before was seen here, one after cancels the call.
-	if !o.Mine(t.GetPool()) {
-		return nil, moved(t)
+	since := o.addCall(c)
+	defer o.removeCall(c)
+	// The call must be registered before this check: a change of ownership before the check is seen
+	// here, and a later one cancels the call.
+	if !o.Owns(t.GetPool()) {
+		return nil, notOwnerFault(t)
 	}
 	for {
 		d := o.Sched.Submit(ctx, t)
-		if d.GetGrant() == nil && errors.Is(context.Cause(ctx), errMoved) {
-			return nil, moved(t)
+		if d.GetGrant() == nil && errors.Is(context.Cause(ctx), errResubmit) {
+			return nil, notOwnerFault(t)
 		}
-		if d.GetRefusal().GetCode() != refuse.NoUpstream || time.Since(since) > Settle || ctx.Err() != nil {
+		if d.GetRefusal().GetCode() != refuse.NoUpstream || time.Since(since) > UpstreamDiscovery || ctx.Err() != nil {
 			return d, nil
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(retry):
+		case <-time.After(retryInterval):
 		}
 	}
 }
 
-// Changed lets go of the calls whose pool is no longer this process's. Their
-// tickets leave the queue, and their entries are told at once to ask elsewhere.
-func (o *Owner) Changed() {
+// OwnershipChanged must be called when the pools of this process may have changed. It cancels the
+// calls for pools that the process no longer owns: their tickets leave the queue, and their entries
+// are told at once to ask the new owner.
+func (o *Owner) OwnershipChanged() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for p := range o.since {
-		if !o.Mine(p) {
-			delete(o.since, p)
+	for p := range o.ownedSince {
+		if !o.Owns(p) {
+			delete(o.ownedSince, p)
 		}
 	}
 	for c := range o.calls {
-		if !o.Mine(c.GetPool()) {
-			c.cancel(errMoved)
+		if !o.Owns(c.GetPool()) {
+			c.cancel(errResubmit)
 		}
 	}
 }
 
-// Forget drops what a lost incarnation held and waited for. Should it live,
-// taken for dead by mistake, its calls return and it asks again.
+// Forget frees the slots of a dead entry and drops its waiting tickets. If the entry was falsely
+// declared dead, its calls return a fault and it sends its tickets again.
 func (o *Owner) Forget(incarnation string) {
 	o.mu.Lock()
 	for c := range o.calls {
 		if c.GetIncarnation() == incarnation {
-			c.cancel(errMoved)
+			c.cancel(errResubmit)
 		}
 	}
 	o.mu.Unlock()
 	o.Sched.Forget(incarnation)
 }
 
-func (o *Owner) enter(c *call) time.Time {
+func (o *Owner) addCall(c *call) time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.calls == nil {
-		o.calls, o.since, o.far = map[*call]struct{}{}, map[string]time.Time{}, map[string]time.Time{}
+		o.calls, o.ownedSince, o.remoteHeardAt = map[*call]struct{}{}, map[string]time.Time{}, map[string]time.Time{}
 	}
 	o.calls[c] = struct{}{}
 	if c.GetAbroad() {
-		o.far[c.GetIncarnation()] = time.Now()
+		o.remoteHeardAt[c.GetIncarnation()] = time.Now()
 	}
-	since, ok := o.since[c.GetPool()]
+	since, ok := o.ownedSince[c.GetPool()]
 	if !ok {
 		since = time.Now()
-		o.since[c.GetPool()] = since
+		o.ownedSince[c.GetPool()] = since
 	}
 	return since
 }
 
-func (o *Owner) leave(c *call) {
+func (o *Owner) removeCall(c *call) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.calls, c)
 }
 
-func moved(t *wire.Ticket) *wire.Fault {
+func notOwnerFault(t *wire.Ticket) *wire.Fault {
 	return &wire.Fault{Code: wire.CodeMoved, Text: "pool " + t.GetPool() + " is another member's"}
 }
