--- a/cmd/azurelane/main.go
+++ b/cmd/azurelane/main.go
@@ -16,7 +16,7 @@
 	// Scheduling policies register themselves.
 	_ "azurelane/core/batch"
 	"azurelane/core/conf"
-	_ "azurelane/core/late"
+	_ "azurelane/core/pull"
 	_ "azurelane/core/least"
 	_ "azurelane/core/robin"
 	"azurelane/io/local"
--- a/core/kernel/example_test.go
+++ b/core/kernel/example_test.go
@@ -11,7 +11,7 @@
 
 	"azurelane/core/conf"
 	"azurelane/core/kernel"
-	_ "azurelane/core/late" // Registers the policy.
+	_ "azurelane/core/pull" // Registers the policy.
 	"azurelane/core/state"
 	"azurelane/core/wire"
 )
--- a/core/kernel/kernel.go
+++ b/core/kernel/kernel.go
@@ -64,8 +64,8 @@
 	policies[name] = policy{build, local}
 }
 
-// Local reports whether the policy runs at every entry.
-func Local(name string) bool { return policies[name].local }
+// PerEntry reports whether the policy runs at every entry.
+func PerEntry(name string) bool { return policies[name].local }
 
 // New builds the policy registered under name.
 func New(name string) (Scheduler, error) {
--- a/core/late/bench_test.go
+++ b/core/pull/bench_test.go
@@ -1,4 +1,4 @@
-package late_test
+package pull_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"azurelane/core/acct"
 	"azurelane/core/conf"
-	"azurelane/core/late"
+	"azurelane/core/pull"
 	"azurelane/core/pool"
 	"azurelane/core/wire"
 )
@@ -55,7 +55,7 @@
 }
 
 // full returns a policy with all slots granted and the tickets waiting.
-func (s size) full() (l *late.Late, running []*wire.Decision, now time.Time) {
+func (s size) full() (l *pull.Late, running []*wire.Decision, now time.Time) {
 	cfg := &conf.Config{Accounts: map[string]acct.Account{}, Pools: map[string]pool.Pool{"p": {MaxWaiting: 1 << 20, MaxRun: time.Hour}}}
 	for i := range s.accounts {
 		cfg.Accounts[fmt.Sprint("account-", i)] = acct.Account{MaxWaiting: 1 << 20}
--- a/core/late/drain.go
+++ b/core/pull/drain.go
@@ -1,4 +1,4 @@
-package late
+package pull
 
 import "time"
 
--- a/core/late/late.go
+++ b/core/pull/late.go
@@ -1,7 +1,7 @@
 // Package late is the scheduling policy that binds a ticket to an upstream as
 // late as it can: tickets wait in one queue at the pool's owner, and only a
 // free slot takes the first of them.
-package late
+package pull
 
 import (
 	"slices"
--- a/core/late/late_test.go
+++ b/core/pull/late_test.go
@@ -1,4 +1,4 @@
-package late_test
+package pull_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 
 	"azurelane/core/conf"
-	"azurelane/core/late"
+	"azurelane/core/pull"
 	"azurelane/core/pool"
 	"azurelane/core/wire"
 )
@@ -17,8 +17,8 @@
 
 // newLate returns the policy with upstreams that run as many requests at once
 // as running says.
-func newLate(cfg *conf.Config, running ...int64) *late.Late {
-	l := &late.Late{}
+func newLate(cfg *conf.Config, running ...int64) *pull.Late {
+	l := &pull.Late{}
 	if cfg == nil {
 		cfg = &conf.Config{Pools: map[string]pool.Pool{"p": {}}}
 	}
@@ -84,13 +84,13 @@
 	none := &wire.Held{Entry: "e", Incarnation: "i"}
 	cases := []struct {
 		name string
-		lose func(l *late.Late) []*wire.Decision
+		lose func(l *pull.Late) []*wire.Decision
 		at   time.Duration // When ticket 2 must have the slot.
 	}{
-		{"withdrawn in the moment of the grant", func(l *late.Late) []*wire.Decision { l.Withdraw(start, withdraw); return nil }, 0},
-		{"entry died", func(l *late.Late) []*wire.Decision { return l.Forget(start, "i") }, 0},
-		{"grant or release lost", func(l *late.Late) []*wire.Decision { l.Hold(start.Add(6*time.Second), none); return nil }, 6 * time.Second},
-		{"no list from the entry either", func(*late.Late) []*wire.Decision { return nil }, pool.DefaultMaxRun + time.Minute},
+		{"withdrawn in the moment of the grant", func(l *pull.Late) []*wire.Decision { l.Withdraw(start, withdraw); return nil }, 0},
+		{"entry died", func(l *pull.Late) []*wire.Decision { return l.Forget(start, "i") }, 0},
+		{"grant or release lost", func(l *pull.Late) []*wire.Decision { l.Hold(start.Add(6*time.Second), none); return nil }, 6 * time.Second},
+		{"no list from the entry either", func(*pull.Late) []*wire.Decision { return nil }, pool.DefaultMaxRun + time.Minute},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/late/queue_test.go
+++ b/core/pull/queue_test.go
@@ -1,4 +1,4 @@
-package late_test
+package pull_test
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 
 	"azurelane/core/acct"
 	"azurelane/core/conf"
-	"azurelane/core/late"
+	"azurelane/core/pull"
 	"azurelane/core/pool"
 	"azurelane/core/wire"
 )
@@ -17,7 +17,7 @@
 const ms = time.Millisecond
 
 // serve runs one request through the policy and returns the time after it.
-func serve(l *late.Late, now time.Time, t *wire.Ticket, took time.Duration) time.Time {
+func serve(l *pull.Late, now time.Time, t *wire.Ticket, took time.Duration) time.Time {
 	for _, d := range l.Submit(now, t) {
 		r := release(d)
 		r.Account, r.TotalUs = t.GetAccount(), took.Microseconds()
@@ -29,7 +29,7 @@
 
 // learnt returns a policy with one upstream that has run 20 requests, each of
 // which took so long, and the time after them.
-func learnt(running int64, took time.Duration) (*late.Late, time.Time) {
+func learnt(running int64, took time.Duration) (*pull.Late, time.Time) {
 	l, now := newLate(nil, running), start
 	for id := range uint64(20) {
 		now = serve(l, now, normal(1000+id), took)
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -172,7 +172,7 @@
 
 func (e *Entry) local(pool string) bool {
 	cfg := e.follow.Config()
-	return cfg != nil && kernel.Local(cfg.Pools[pool].WithDefaults().Scheduler)
+	return cfg != nil && kernel.PerEntry(cfg.Pools[pool].WithDefaults().Scheduler)
 }
 
 func (e *Entry) beat() *wire.Beat {
--- a/io/sched/sched_test.go
+++ b/io/sched/sched_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 
 	"azurelane/core/conf"
-	_ "azurelane/core/late"
+	_ "azurelane/core/pull"
 	"azurelane/core/pool"
 	"azurelane/core/wire"
 	"azurelane/io/sched"
--- a/io/sched/token_times_test.go
+++ b/io/sched/token_times_test.go
@@ -8,7 +8,7 @@
 
 	_ "azurelane/core/batch" // Registers a policy that estimates token times.
 	"azurelane/core/conf"
-	_ "azurelane/core/late" // Registers a policy that does not estimate them.
+	_ "azurelane/core/pull" // Registers a policy that does not estimate them.
 	"azurelane/core/pool"
 	"azurelane/core/wire"
 )
