--- a/io/sched/speeds_test.go
+++ b/io/sched/token_times_test.go
@@ -6,16 +6,17 @@
 
 	"github.com/shoenig/test/must"
 
-	_ "azurelane/core/batch" // Registers the policy that learns.
+	_ "azurelane/core/batch" // Registers a policy that estimates token times.
 	"azurelane/core/conf"
 	"azurelane/core/pool"
-	_ "azurelane/core/pull" // Registers one that tells nothing.
+	_ "azurelane/core/pull" // Registers a policy that does not estimate them.
 	"azurelane/core/wire"
 )
 
-// An operator asks why long requests are refused: the speeds by which they are placed
-// are told for each upstream of a pool that learns them, and for no other pool.
-func TestSpeedsAreTold(t *testing.T) {
+// Long requests are placed by token times, so operators need the times to find out why such
+// requests are refused. They must be reported for each upstream of a pool whose policy estimates
+// them, and for no other pool.
+func TestTokenTimes(t *testing.T) {
 	s := &Sched{Incarnation: "own"}
 	s.Install(&conf.Config{Pools: map[string]pool.Pool{
 		"engines": {Scheduler: "batch", Slots: 4, EventTokens: 1},
