--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -104,7 +104,7 @@
 // Announce records an upstream's lease and grants the waiting tickets that now fit.
 func (b *Batch) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
 	if u := b.table.GetOrAdd(a.GetUpstream()); u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
-		b.slots.Vacate(now, u) // The runs of the previous process ended with it.
+		b.slots.FreeUpstream(now, u) // The runs of the previous process ended with it.
 		b.engine(u).stats = b.newEngineStats()
 	}
 	b.table.Update(now, a)
@@ -143,9 +143,9 @@
 			route.addBrokenRun(s.Ticket)
 		}
 	}
-	stats := b.engine(s.Up).stats
+	stats := b.engine(s.Upstream).stats
 	if r.GetFirstTokenUs() > 0 {
-		stats.prefillDone(s.Since, now.Add(-time.Duration(r.GetTotalUs()-r.GetFirstTokenUs())*time.Microsecond))
+		stats.prefillDone(s.GrantedAt, now.Add(-time.Duration(r.GetTotalUs()-r.GetFirstTokenUs())*time.Microsecond))
 	}
 	switch {
 	case r.GetBusy():
@@ -154,9 +154,9 @@
 		// engine counts as busy for a while.
 		stats.addPrompt(now, b.pool.Slots*int64(b.costs.usualAnswer()))
 	case r.GetFailed():
-		stats.addFailure(now, r.GetFirstTokenUs() > 0, s.Up.GetSeq())
+		stats.addFailure(now, r.GetFirstTokenUs() > 0, s.Upstream.GetSeq())
 	case r.GetDispatched():
-		stats.addRun(now, r, s.Ticket.GetPromptTokens()-s.Kept, max(b.pool.EventTokens, 1), s.Wait)
+		stats.addRun(now, r, s.Ticket.GetPromptTokens()-s.CachedTokens, max(b.pool.EventTokens, 1), s.ExpectedWait)
 	}
 	return b.assign(now)
 }
@@ -175,12 +175,12 @@
 			list = append(list, s)
 		}
 	}
-	b.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), b.table.GetOrAdd)
+	b.slots.Reconcile(now, h.GetIncarnation(), list, h.GetTickets(), b.table.GetOrAdd)
 }
 
 // Forget drops the tickets and slots of a dead entry, identified by its incarnation.
 func (b *Batch) Forget(now time.Time, incarnation string) []*wire.Decision {
-	b.slots.Forget(incarnation)
+	b.slots.FreeEntry(incarnation)
 	b.removeIf(func(i *item) bool { return i.GetIncarnation() == incarnation })
 	return b.assign(now)
 }
@@ -218,7 +218,7 @@
 }
 
 func (b *Batch) fitsCache(u *upstr.Upstream, tokens int64) bool {
-	return b.pool.CacheTokens == 0 || float64(u.Tokens+tokens) <= maxCacheUse*float64(b.pool.CacheTokens)
+	return b.pool.CacheTokens == 0 || float64(u.ReservedTokens+tokens) <= maxCacheUse*float64(b.pool.CacheTokens)
 }
 
 // assign grants free slots to the waiting tickets with the highest scores.
@@ -237,12 +237,12 @@
 		i.routeStats.addOutcome(now.Sub(b.started), i.class, true, !i.arrivedLate && now.Sub(b.started)+e.stats.timeToFirstToken(now, e.Upstream, i.prompt) <= i.objective)
 		b.waiting = slices.Delete(b.waiting, n, n+1)
 		delete(b.waitingByKey, ticketKey{i.GetIncarnation(), i.GetId()})
-		s := &slot.Slot{Up: e.Upstream, Ticket: i.Ticket, Kept: cachedTokens(e.Upstream, i)}
-		s.Wait = e.stats.wait(now)
+		s := &slot.Slot{Upstream: e.Upstream, Ticket: i.Ticket, CachedTokens: cachedTokens(e.Upstream, i)}
+		s.ExpectedWait = e.stats.wait(now)
 		if e.GetUnreached() {
 			b.probedAt = now
 		}
-		e.stats.addPrompt(now, i.GetPromptTokens()-s.Kept)
+		e.stats.addPrompt(now, i.GetPromptTokens()-s.CachedTokens)
 		for _, p := range i.GetParts() {
 			e.Cache.Sent(now, p.GetHash())
 		}
@@ -278,7 +278,7 @@
 func (b *Batch) retryAfter(i *item) time.Duration {
 	slotCount := int64(0)
 	for _, u := range b.table.All() {
-		slotCount += int64(u.Limit())
+		slotCount += int64(u.AnnouncedLimit())
 	}
 	var work time.Duration
 	for _, w := range b.waiting {
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -108,14 +108,14 @@
 	b.offers, b.bestCase, batchesFull = b.offers[:0], bestCase{}, true
 	for _, e := range b.knownEngines() {
 		stats := e.stats
-		if !e.Live(now) || now.Before(stats.excludedUntil) || (e.GetUnreached() && now.Sub(b.probedAt) < probeInterval) || !e.Meter.Room(now) {
+		if !e.Live(now) || now.Before(stats.excludedUntil) || (e.GetUnreached() && now.Sub(b.probedAt) < probeInterval) || !e.Meter.CanSend(now) {
 			continue
 		}
 		b.bestCase.add(stats)
-		if e.Running >= e.Limit()+engineQueueLimit || !b.fitsCache(e.Upstream, 0) {
+		if e.Running >= e.AnnouncedLimit()+engineQueueLimit || !b.fitsCache(e.Upstream, 0) {
 			continue
 		}
-		o := offer{engine: e, batchFull: e.Running >= e.Limit(), baseFirstToken: stats.timeToFirstToken(now, e.Upstream, 0), perToken: stats.perToken()}
+		o := offer{engine: e, batchFull: e.Running >= e.AnnouncedLimit(), baseFirstToken: stats.timeToFirstToken(now, e.Upstream, 0), perToken: stats.perToken()}
 		o.prefillWait = stats.wait(now)
 		o.failurePenalty = time.Duration((1 - stats.successShare) * float64(time.Second))
 		b.offers = append(b.offers, o)
--- a/core/direct/direct.go
+++ b/core/direct/direct.go
@@ -45,14 +45,14 @@
 	b.slots.Cancel(now, t.GetIncarnation(), t.GetId())
 	var live []*upstr.Upstream
 	for _, u := range b.table.All() {
-		if u.Live(now) && u.Meter.Room(now) && u.Serves(t) {
+		if u.Live(now) && u.Meter.CanSend(now) && u.Eligible(t) {
 			live = append(live, u)
 		}
 	}
 	if len(live) == 0 {
 		return []*wire.Decision{refuse.Ticket(t, refuse.NoUpstream, retryAfter)}
 	}
-	return []*wire.Decision{b.slots.Grant(now, &slot.Slot{Up: pick(live), Ticket: t}, b.pool.GrantTTL)}
+	return []*wire.Decision{b.slots.Grant(now, &slot.Slot{Upstream: pick(live), Ticket: t}, b.pool.GrantTTL)}
 }
 
 // Release frees the slot.
@@ -72,7 +72,7 @@
 
 // Forget frees a dead entry's slots.
 func (b *Base) Forget(_ time.Time, incarnation string) []*wire.Decision {
-	b.slots.Forget(incarnation)
+	b.slots.FreeEntry(incarnation)
 	return nil
 }
 
--- a/core/leases/table.go
+++ b/core/leases/table.go
@@ -22,7 +22,7 @@
 func (t *Table) Update(now time.Time, a *wire.Announce) {
 	u := t.GetOrAdd(a.GetUpstream())
 	if u.GetIncarnation() != a.GetIncarnation() || a.GetSeq() >= u.GetSeq() {
-		u.Heard(now, a)
+		u.Update(now, a)
 	}
 }
 
@@ -50,7 +50,7 @@
 // requests.
 func (t *Table) Expire(now time.Time, grace time.Duration) {
 	t.sorted = slices.DeleteFunc(t.sorted, func(u *upstr.Upstream) bool {
-		if u.Running > 0 || now.Before(u.Expires.Add(grace)) {
+		if u.Running > 0 || now.Before(u.LeaseEnd.Add(grace)) {
 			return false
 		}
 		delete(t.byName, u.GetUpstream())
--- a/core/meter/meter.go
+++ b/core/meter/meter.go
@@ -21,9 +21,9 @@
 	at    time.Time
 }
 
-// Limit holds the requests to a share of a rate, in requests a second, from now on. With
+// SetLimit holds the requests to a share of a rate, in requests a second, from now on. With
 // a share of zero nothing passes and nothing is saved up.
-func (m *Meter) Limit(now time.Time, rate, share float64) {
+func (m *Meter) SetLimit(now time.Time, rate, share float64) {
 	m.fill(now)
 	m.on, m.rate, m.burst = true, max(rate, leastRate)*share, 0
 	if m.rate > 0 {
@@ -32,14 +32,14 @@
 	m.left = min(m.left, m.burst)
 }
 
-// End lets everything pass again.
-func (m *Meter) End() { *m = Meter{} }
+// Unlimit lets everything pass again.
+func (m *Meter) Unlimit() { *m = Meter{} }
 
 // Rate is the limit, in requests a second; ok is false where there is none.
 func (m *Meter) Rate() (rate float64, ok bool) { return m.rate, m.on }
 
-// Room reports whether one more request may be sent now.
-func (m *Meter) Room(now time.Time) bool {
+// CanSend reports whether one more request may be sent now.
+func (m *Meter) CanSend(now time.Time) bool {
 	m.fill(now)
 	return !m.on || (m.left >= 1 && m.rate > 0)
 }
@@ -47,7 +47,7 @@
 // Wait is the time until one more request may be sent, an hour where none may.
 func (m *Meter) Wait(now time.Time) time.Duration {
 	switch {
-	case m.Room(now):
+	case m.CanSend(now):
 		return 0
 	case m.rate <= 0:
 		return time.Hour
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -50,7 +50,7 @@
 func Available(now time.Time, all, into []*upstr.Upstream) []*upstr.Upstream {
 	into = into[:0]
 	for _, u := range all {
-		if u.Room(now) {
+		if u.HasRoom(now) {
 			into = append(into, u)
 		}
 	}
@@ -94,7 +94,7 @@
 		best = preferred
 	}
 	return &slot.Slot{
-		Up: best.up, Ticket: i.Ticket, Work: i.Work, Long: i.Long && i.Level() > 0, Cached: best.cached, Expect: best.runTime,
+		Upstream: best.up, Ticket: i.Ticket, Work: i.Work, Long: i.Long && i.Level() > 0, PrefixCached: best.cached, ExpectedRun: best.runTime,
 	}, false
 }
 
@@ -122,15 +122,15 @@
 }
 
 func (p Picker) evaluate(now time.Time, u *upstr.Upstream, i *item.Item) candidate {
-	c := candidate{up: u, hashWeight: u.Weight(i.GetPrefixHash())}
+	c := candidate{up: u, hashWeight: u.RendezvousWeight(i.GetPrefixHash())}
 	c.cached = i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash())
-	c.runTime = u.Learnt.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
+	c.runTime = u.Observed.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
 	run := c.runTime
-	if !u.Learnt.Known() {
+	if !u.Observed.Known() {
 		run = p.TypicalRun
 	}
 	c.finish = run + time.Duration(float64(run)*fullBatchCost*fillRatio(now, u))
-	if i.Deadline.IsZero() || !u.Learnt.Known() {
+	if i.Deadline.IsZero() || !u.Observed.Known() {
 		return c
 	}
 	c.late = now.Add(p.SafeRunTime(u, i.Ticket)).After(i.Deadline)
@@ -141,8 +141,8 @@
 // comparison with deadlines. It includes the preset's margin and does not count on a cached
 // prefix, which may be gone. It is zero while the speed is unknown.
 func (p Picker) SafeRunTime(u *upstr.Upstream, t *wire.Ticket) time.Duration {
-	run := u.Learnt.RunTime(t.GetPromptTokens(), t.GetAnswerTokens(), false)
-	return time.Duration(float64(run) * (1 + p.DeadlineMargin*u.Learnt.MeanError()))
+	run := u.Observed.RunTime(t.GetPromptTokens(), t.GetAnswerTokens(), false)
+	return time.Duration(float64(run) * (1 + p.DeadlineMargin*u.Observed.MeanError()))
 }
 
 // worthDetour bounds the cost of cache affinity: preferred must not finish much later than
@@ -150,7 +150,7 @@
 func (p Picker) worthDetour(now time.Time, i *item.Item, preferred, best candidate, meanFill float64) bool {
 	return i.GetPrefixHash() != 0 && i.GetPromptTokens() >= minAffinityPrompt &&
 		preferred.finish <= best.finish+time.Duration(p.MaxDetour*float64(best.finish)) &&
-		fillRatio(now, preferred.up) <= maxHomeFill*meanFill+1/float64(max(preferred.up.Most(now), 1))
+		fillRatio(now, preferred.up) <= maxHomeFill*meanFill+1/float64(max(preferred.up.EffectiveLimit(now), 1))
 }
 
 // hasRoom reports whether an available upstream has room for an item of this model and
@@ -160,25 +160,25 @@
 	if !u.HasModel(i.GetModel()) {
 		return false
 	}
-	if limit := u.Most(now); i.Long && i.Level() > 0 && expectShort && limit > 1 {
-		return u.Long < limit-max(limit/reserveDivisor, 1)
+	if limit := u.EffectiveLimit(now); i.Long && i.Level() > 0 && expectShort && limit > 1 {
+		return u.LongRunning < limit-max(limit/reserveDivisor, 1)
 	}
 	return true
 }
 
 // mayRun reports whether the upstream may run this particular item.
 func (p Picker) mayRun(u *upstr.Upstream, i *item.Item, only string) bool {
-	if (only != "" && u.GetUpstream() != only) || !u.Serves(i.Ticket) {
+	if (only != "" && u.GetUpstream() != only) || !u.Eligible(i.Ticket) {
 		return false
 	}
-	if n := u.GetMaxTokens(); n > 0 && u.Running > 0 && u.Tokens+i.GetPromptTokens()+i.GetAnswerTokens() > n {
+	if n := u.GetMaxTokens(); n > 0 && u.Running > 0 && u.ReservedTokens+i.GetPromptTokens()+i.GetAnswerTokens() > n {
 		return false
 	}
 	// An urgent ticket is not used to try a recovering upstream while another one is in
 	// service.
-	return !u.Learnt.OnTrial() || i.Level() > 0 || p.AllOnTrial
+	return !u.Observed.OnTrial() || i.Level() > 0 || p.AllOnTrial
 }
 
 func fillRatio(now time.Time, u *upstr.Upstream) float64 {
-	return float64(u.Running) / float64(max(u.Most(now), 1))
+	return float64(u.Running) / float64(max(u.EffectiveLimit(now), 1))
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -31,18 +31,18 @@
 	u := upstr.New(fmt.Sprint("up-", i))
 	announce(u)
 	u.Announce.MaxRunning = maxRunning
-	u.Heard(start, u.Announce)
+	u.Update(start, u.Announce)
 	for n := range int64(50) {
 		prompt, answer := 50+n*40, 10+n%7*30
 		first := time.Duration(slow * 100 * float64(prompt) * float64(time.Microsecond))
 		total := first + time.Duration(slow*float64(answer)*float64(time.Millisecond))
-		u.Learnt.RecordSuccess(start, prompt, answer, false, first, total, 1, int(maxRunning))
+		u.Observed.RecordSuccess(start, prompt, answer, false, first, total, 1, int(maxRunning))
 	}
 	return u
 }
 
 func announce(u *upstr.Upstream, cached ...uint64) {
-	u.Heard(start, &wire.Announce{
+	u.Update(start, &wire.Announce{
 		Upstream: u.GetUpstream(), MaxRunning: u.GetMaxRunning(), LeaseUs: time.Minute.Microseconds(), CachedPrefixes: cached,
 	})
 }
@@ -74,14 +74,14 @@
 	homes := map[uint64]string{}
 	used := map[string]int{}
 	for prefix := uint64(1); prefix <= 400; prefix++ {
-		homes[prefix] = pick(p, start, ups, request(prefix*7919)).Up.GetUpstream()
+		homes[prefix] = pick(p, start, ups, request(prefix*7919)).Upstream.GetUpstream()
 		used[homes[prefix]]++
 	}
 	for name, n := range used {
 		must.Between(t, 20, n, 90, must.Sprint(name))
 	}
 	for prefix, home := range homes {
-		now := pick(p, start, ups[1:], request(prefix*7919)).Up.GetUpstream()
+		now := pick(p, start, ups[1:], request(prefix*7919)).Upstream.GetUpstream()
 		must.True(t, home == "up-0" || home == now)
 	}
 }
@@ -97,17 +97,17 @@
 	i.PromptTokens = 100 // So few that the detour decides, not the saved prefill.
 	announce(b, 5)
 	s := pick(p, start, ups, i)
-	must.Eq(t, "up-1", s.Up.GetUpstream())
-	must.True(t, s.Cached)
+	must.Eq(t, "up-1", s.Upstream.GetUpstream())
+	must.True(t, s.PrefixCached)
 	b.Cache.Wrong(5)
-	must.False(t, pick(p, start, ups, i).Cached)
+	must.False(t, pick(p, start, ups, i).PrefixCached)
 	b.Cache.Sent(start, 5)
 	announce(b) // A cache event without prefix 5.
 	s = pick(p, start, ups, i)
-	must.Eq(t, "up-1", s.Up.GetUpstream())
-	must.True(t, s.Cached)
+	must.Eq(t, "up-1", s.Upstream.GetUpstream())
+	must.True(t, s.PrefixCached)
 	b.Running = 3
-	must.Eq(t, "up-0", pick(p, start, ups, i).Up.GetUpstream(), must.Sprint("fuller than the mean allows"))
+	must.Eq(t, "up-0", pick(p, start, ups, i).Upstream.GetUpstream(), must.Sprint("fuller than the mean allows"))
 }
 
 // Whatever is assumed about caches, the chosen upstream has room, serves the request, meets
@@ -128,28 +128,28 @@
 		}
 		for _, u := range ups {
 			u.Running = rapid.IntRange(0, 4).Draw(t, "running")
-			u.Long = rapid.IntRange(0, u.Running).Draw(t, "longs")
+			u.LongRunning = rapid.IntRange(0, u.Running).Draw(t, "longs")
 			announce(u, rapid.SliceOfN(rapid.Uint64Range(1, 3), 0, 3).Draw(t, "cached")...)
 		}
 		available := place.Available(start, ups, nil)
 		ok := func(u *upstr.Upstream) bool {
 			avoided := len(i.GetAvoid()) > 0 && u.GetUpstream() == "up-0"
-			reserved := i.Long && short && u.Long >= 3
+			reserved := i.Long && short && u.LongRunning >= 3
 			return u.Running < 4 && !avoided && !reserved &&
 				(i.Deadline.IsZero() || !start.Add(p.SafeRunTime(u, i.Ticket)).After(i.Deadline))
 		}
 		finish := func(u *upstr.Upstream) float64 {
-			run := u.Learnt.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
+			run := u.Observed.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
 			return run.Seconds() * (1 + 0.5*float64(u.Running)/4)
 		}
 		s, _ := p.Pick(start, available, i, short, "")
 		if s != nil {
-			must.True(t, ok(s.Up))
+			must.True(t, ok(s.Upstream))
 		}
 		for _, u := range ups {
 			if ok(u) {
 				must.NotNil(t, s)
-				must.LessEq(t, finish(u)*(1+p.MaxDetour)+1e-6, finish(s.Up))
+				must.LessEq(t, finish(u)*(1+p.MaxDetour)+1e-6, finish(s.Upstream))
 			}
 		}
 	})
@@ -159,7 +159,7 @@
 func TestTrial(t *testing.T) {
 	p := preset(t, place.Goodput)
 	ups := []*upstr.Upstream{newUpstream(0, 1, 4)}
-	ups[0].Learnt.StartOutage(start)
+	ups[0].Observed.StartOutage(start)
 	now := start.Add(2 * time.Second)
 	urgent := request(0)
 	urgent.Tier = wire.Tier_TIER_URGENT
--- a/core/pull/admit.go
+++ b/core/pull/admit.go
@@ -32,14 +32,14 @@
 // unknown. The upstream that is fastest for a typical request is tried first: if it meets
 // the deadline, its run time is returned and the others are not examined.
 func (p *Policy) minRunTime(now time.Time, i *item.Item) time.Duration {
-	if u := p.fastest; u != nil && u.Live(now) && u.Serves(i.Ticket) {
+	if u := p.fastest; u != nil && u.Live(now) && u.Eligible(i.Ticket) {
 		if e := p.picker.SafeRunTime(u, i.Ticket); !now.Add(e).After(i.Deadline) {
 			return e
 		}
 	}
 	best := time.Duration(-1)
 	for _, u := range p.table.All() {
-		if !u.Live(now) || !u.Serves(i.Ticket) {
+		if !u.Live(now) || !u.Eligible(i.Ticket) {
 			continue
 		}
 		if e := p.picker.SafeRunTime(u, i.Ticket); best < 0 || e < best {
@@ -101,5 +101,5 @@
 
 // hasUpstream reports whether a live upstream may run the ticket.
 func (p *Policy) hasUpstream(now time.Time, t *wire.Ticket) bool {
-	return slices.ContainsFunc(p.table.All(), func(u *upstr.Upstream) bool { return u.Live(now) && u.Serves(t) })
+	return slices.ContainsFunc(p.table.All(), func(u *upstr.Upstream) bool { return u.Live(now) && u.Eligible(t) })
 }
--- a/core/pull/learn.go
+++ b/core/pull/learn.go
@@ -28,19 +28,19 @@
 		return nil
 	}
 	p.learn(now, s, r)
-	if !slices.Contains(p.available, s.Up) {
-		p.available = append(p.available, s.Up)
+	if !slices.Contains(p.available, s.Upstream) {
+		p.available = append(p.available, s.Upstream)
 	}
 	return p.assign(now)
 }
 
 func (p *Policy) learn(now time.Time, s *slot.Slot, r *wire.Release) {
-	t, u := s.Ticket, s.Up
+	t, u := s.Ticket, s.Upstream
 	switch {
 	case !r.GetDispatched():
 		p.queue.AdjustCharge(t.GetAccount(), -s.Work)
 		if r.GetFailed() {
-			u.Learnt.RecordFailure(now, "")
+			u.Observed.RecordFailure(now, "")
 		}
 		return
 	case r.GetFailed():
@@ -59,11 +59,11 @@
 	}
 	p.abuse.RecordSuccess(t.GetAccount())
 	first, total := micros(r.GetFirstTokenUs()), micros(r.GetTotalUs())
-	if s.Cached && p.cacheMissed(s, prompt, first) {
+	if s.PrefixCached && p.cacheMissed(s, prompt, first) {
 		u.Cache.Wrong(t.GetPrefixHash())
-		s.Cached = false
+		s.PrefixCached = false
 	}
-	u.Learnt.RecordSuccess(now, prompt, answer, s.Cached, first, total, u.Running+1, u.Limit())
+	u.Observed.RecordSuccess(now, prompt, answer, s.PrefixCached, first, total, u.Running+1, u.AnnouncedLimit())
 }
 
 // recordFailure attributes a failed run to the account or to the upstream. An account whose
@@ -75,21 +75,21 @@
 		return // The caller's own deadline ended the run; checkOverdue detects upstreams that hang.
 	}
 	if _, confined := p.abuse.Confined(now, account); confined {
-		p.abuse.RecordFailure(now, account, s.Up.GetUpstream())
+		p.abuse.RecordFailure(now, account, s.Upstream.GetUpstream())
 		return
 	}
-	s.Up.Learnt.RecordFailure(now, account)
-	if s.Up.Learnt.AccountAtFault(now) {
-		p.abuse.RecordFailure(now, account, s.Up.GetUpstream())
+	s.Upstream.Observed.RecordFailure(now, account)
+	if s.Upstream.Observed.AccountAtFault(now) {
+		p.abuse.RecordFailure(now, account, s.Upstream.GetUpstream())
 	}
 }
 
 // cacheMissed reports whether the time to the first token shows that the prefix was not
 // cached.
 func (p *Policy) cacheMissed(s *slot.Slot, prompt int64, first time.Duration) bool {
-	full := s.Up.Learnt.RunTime(prompt, 0, false) - s.Up.Learnt.RunTime(0, 0, false)
-	saved := full - (s.Up.Learnt.RunTime(prompt, 0, true) - s.Up.Learnt.RunTime(0, 0, true))
-	return first > 0 && saved > 0 && first > s.Up.Learnt.RunTime(0, 0, true)+time.Duration(maxCachedFraction*float64(full))
+	full := s.Upstream.Observed.RunTime(prompt, 0, false) - s.Upstream.Observed.RunTime(0, 0, false)
+	saved := full - (s.Upstream.Observed.RunTime(prompt, 0, true) - s.Upstream.Observed.RunTime(0, 0, true))
+	return first > 0 && saved > 0 && first > s.Upstream.Observed.RunTime(0, 0, true)+time.Duration(maxCachedFraction*float64(full))
 }
 
 // checkOverdue returns a function for the sweep that takes an upstream out of service if
@@ -98,9 +98,9 @@
 // neither a failed run nor an expired lease reveals it before the callers' deadlines.
 func (p *Policy) checkOverdue(now time.Time) func(*slot.Slot) {
 	return func(s *slot.Slot) {
-		limit := overdueFactor*s.Expect + overdueGrace
-		if s.Expect > 0 && now.Sub(s.Since) > limit && now.Sub(s.Up.Learnt.LastSuccess()) > limit {
-			s.Up.Learnt.StartOutage(now)
+		limit := overdueFactor*s.ExpectedRun + overdueGrace
+		if s.ExpectedRun > 0 && now.Sub(s.GrantedAt) > limit && now.Sub(s.Upstream.Observed.LastSuccess()) > limit {
+			s.Upstream.Observed.StartOutage(now)
 		}
 	}
 }
--- a/core/pull/pull.go
+++ b/core/pull/pull.go
@@ -160,13 +160,13 @@
 			list = append(list, s)
 		}
 	}
-	p.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), p.table.GetOrAdd)
+	p.slots.Reconcile(now, h.GetIncarnation(), list, h.GetTickets(), p.table.GetOrAdd)
 	p.availableStale = true
 }
 
 // Forget removes a dead entry's tickets and frees its slots.
 func (p *Policy) Forget(now time.Time, incarnation string) []*wire.Decision {
-	p.slots.Forget(incarnation)
+	p.slots.FreeEntry(incarnation)
 	p.availableStale = true
 	p.queue.RemoveFunc(func(i *item.Item) bool { return i.GetIncarnation() == incarnation })
 	return p.assign(now)
@@ -221,7 +221,7 @@
 // the same model and length would fail as well.
 func (p *Policy) grant(now time.Time, i *item.Item) (*wire.Decision, bool) {
 	only, confined := p.abuse.Confined(now, i.GetAccount())
-	if confined && p.slots.Account(i.GetAccount()) > 0 {
+	if confined && p.slots.AccountLen(i.GetAccount()) > 0 {
 		return nil, false
 	}
 	s, full := p.picker.Pick(now, p.available, i, p.workload.expectsShort(now), only)
@@ -229,12 +229,12 @@
 		return nil, full
 	}
 	if h := i.GetPrefixHash(); h != 0 {
-		s.Up.Cache.Sent(now, h)
+		s.Upstream.Cache.Sent(now, h)
 	}
 	p.throughput.granted += i.Work
 	d := p.slots.Grant(now, s, p.pool.GrantTTL)
-	if !s.Up.Room(now) {
-		p.available = slices.DeleteFunc(p.available, func(u *upstr.Upstream) bool { return u == s.Up })
+	if !s.Upstream.HasRoom(now) {
+		p.available = slices.DeleteFunc(p.available, func(u *upstr.Upstream) bool { return u == s.Upstream })
 	}
 	return d, false
 }
--- a/core/pull/sweep.go
+++ b/core/pull/sweep.go
@@ -45,12 +45,12 @@
 			continue
 		}
 		p.liveUpstreams++
-		p.picker.AllOnTrial = p.picker.AllOnTrial && u.Learnt.OnTrial()
-		e := u.Learnt.RunTime(prompt, answer, false)
+		p.picker.AllOnTrial = p.picker.AllOnTrial && u.Observed.OnTrial()
+		e := u.Observed.RunTime(prompt, answer, false)
 		if e <= 0 {
 			continue
 		}
-		p.rate += float64(u.Most(now)) * limit.Cost(prompt, answer) / e.Seconds()
+		p.rate += float64(u.EffectiveLimit(now)) * limit.Cost(prompt, answer) / e.Seconds()
 		p.picker.TypicalRun = max(p.picker.TypicalRun, e)
 		if p.fastest == nil || e < quickest {
 			p.fastest, quickest = u, e
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -24,13 +24,13 @@
 	}
 )
 
-// Take counts a request in. When its account is at its most requests, the newest
+// Admit counts a request in. When its account is at its most requests, the newest
 // waiting one of the least urgent lower tier goes for it: the result names it,
 // and the caller must refuse it. Otherwise what runs in lower tiers doesn't
 // stand in the way: a request is refused only when as many requests as urgent as
 // itself are open and no lower one waits. Without this an account's bulk work
 // would fill its limit, and its alert be refused while the bulk work is kept.
-func (q *Quota) Take(name string, id uint64, level, most int) (shed []uint64, ok bool) {
+func (q *Quota) Admit(name string, id uint64, level, most int) (shed []uint64, ok bool) {
 	a := q.accounts[name]
 	if a == nil {
 		a = &account{open: map[uint64]*request{}}
@@ -49,8 +49,8 @@
 	return shed, true
 }
 
-// Grow counts n more bytes of a request's body, by the same rule.
-func (q *Quota) Grow(name string, id uint64, n, most int64) (shed []uint64, ok bool) {
+// AddBytes counts n more bytes of a request's body, by the same rule.
+func (q *Quota) AddBytes(name string, id uint64, n, most int64) (shed []uint64, ok bool) {
 	a := q.accounts[name]
 	if a == nil || a.open[id] == nil {
 		return nil, false
@@ -65,12 +65,12 @@
 	return shed, true
 }
 
-// Wait notes that a request waits for a slot: from now on it may be shed.
-func (q *Quota) Wait(name string, id uint64) { q.set(name, id, true) }
+// MarkWaiting notes that a request waits for a slot: from now on it may be shed.
+func (q *Quota) MarkWaiting(name string, id uint64) { q.set(name, id, true) }
 
-// Keep notes that a request is about to run. It reports false when the request
+// MarkRunning notes that a request is about to run. It reports false when the request
 // has been shed; it must not run then.
-func (q *Quota) Keep(name string, id uint64) bool { return q.set(name, id, false) }
+func (q *Quota) MarkRunning(name string, id uint64) bool { return q.set(name, id, false) }
 
 func (q *Quota) set(name string, id uint64, waiting bool) bool {
 	a := q.accounts[name]
@@ -81,8 +81,8 @@
 	return true
 }
 
-// Give takes back what a request counted. One that was shed counts no more.
-func (q *Quota) Give(name string, id uint64) {
+// Release takes back what a request counted. One that was shed counts no more.
+func (q *Quota) Release(name string, id uint64) {
 	if a := q.accounts[name]; a != nil {
 		a.drop(id)
 		q.tidy(name)
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -29,9 +29,9 @@
 )
 
 const (
-	// HeldGrace is how old a slot must be before its absence from the list of
+	// ReconcileGrace is how old a slot must be before its absence from the list of
 	// its entry frees it. A grant is on its way to the entry for less than that.
-	HeldGrace = 5 * time.Second
+	ReconcileGrace = 5 * time.Second
 	// releasedKeep is how long a released slot can't be adopted again. Lists
 	// of held slots are not underway for longer.
 	releasedKeep = 10 * time.Second
@@ -40,20 +40,20 @@
 // Grant takes a slot for s.Ticket on s.Up, numbers it and returns the decision.
 func (s *Slots) Grant(now time.Time, g *slot.Slot, ttl time.Duration) *wire.Decision {
 	s.last++
-	g.Number, g.Since, g.Owner = s.last, now, ""
-	g.Up.Meter.Take(now)
+	g.Number, g.GrantedAt, g.Owner = s.last, now, ""
+	g.Upstream.Meter.Take(now)
 	s.put(g)
 	t := g.Ticket
 	return &wire.Decision{
 		Ticket: t.GetId(), Entry: t.GetEntry(), Incarnation: t.GetIncarnation(),
 		Kind: &wire.Decision_Grant{Grant: &wire.Grant{
-			Slot: g.Number, Upstream: g.Up.GetUpstream(), Address: g.Up.GetAddress(), ExpiresUs: ttl.Microseconds(),
-			CanResume: g.Up.GetCanResume(),
+			Slot: g.Number, Upstream: g.Upstream.GetUpstream(), Address: g.Upstream.GetAddress(), ExpiresUs: ttl.Microseconds(),
+			CanResume: g.Upstream.GetCanResume(),
 		}},
 	}
 }
 
-// Hold reconciles the slots of an entry with the list that it sent. The list
+// Reconcile reconciles the slots of an entry with the list that it sent. The list
 // is the truth, since only the entry knows what it dispatched:
 //
 //   - A listed slot that isn't known is adopted. A former owner granted it, or
@@ -66,7 +66,7 @@
 // released slots are remembered for a while. Tickets names slots that stood in
 // a list before; one that isn't known is adopted when it stands in a list again.
 // Up finds an upstream by name.
-func (s *Slots) Hold(now time.Time, incarnation string, list []*wire.HeldSlot, tickets []uint64, up func(string) *upstr.Upstream) {
+func (s *Slots) Reconcile(now time.Time, incarnation string, list []*wire.HeldSlot, tickets []uint64, up func(string) *upstr.Upstream) {
 	listed := make(map[uint64]bool, len(list)+len(tickets))
 	for _, id := range tickets {
 		listed[id] = true
@@ -78,10 +78,10 @@
 		if _, gone := s.released[k]; gone || s.held[incarnation][t.GetId()] != nil {
 			continue
 		}
-		s.put(&slot.Slot{Up: up(g.GetUpstream()), Ticket: t, Owner: g.GetOwner(), Number: g.GetSlot(), Since: now})
+		s.put(&slot.Slot{Upstream: up(g.GetUpstream()), Ticket: t, Owner: g.GetOwner(), Number: g.GetSlot(), GrantedAt: now})
 	}
 	for id, v := range s.held[incarnation] {
-		if !listed[id] && now.Sub(v.Since) > HeldGrace {
+		if !listed[id] && now.Sub(v.GrantedAt) > ReconcileGrace {
 			s.drop(v)
 		}
 	}
@@ -100,10 +100,10 @@
 	s.held[inc][v.Ticket.GetId()] = v
 	s.n++
 	s.accounts[v.Ticket.GetAccount()]++
-	v.Up.Running++
-	v.Up.Tokens += v.Tokens()
+	v.Upstream.Running++
+	v.Upstream.ReservedTokens += v.Tokens()
 	if v.Long {
-		v.Up.Long++
+		v.Upstream.LongRunning++
 	}
 }
 
@@ -119,10 +119,10 @@
 	} else {
 		delete(s.accounts, a)
 	}
-	v.Up.Running--
-	v.Up.Tokens -= v.Tokens()
+	v.Upstream.Running--
+	v.Upstream.ReservedTokens -= v.Tokens()
 	if v.Long {
-		v.Up.Long--
+		v.Upstream.LongRunning--
 	}
 }
 
@@ -155,20 +155,20 @@
 	return v
 }
 
-// Forget frees every slot that an entry's incarnation held.
-func (s *Slots) Forget(incarnation string) {
+// FreeEntry frees every slot that an entry's incarnation held.
+func (s *Slots) FreeEntry(incarnation string) {
 	for _, v := range s.held[incarnation] {
 		s.drop(v)
 	}
 }
 
-// Vacate frees every slot on an upstream: its process has started anew, so that
+// FreeUpstream frees every slot on an upstream: its process has started anew, so that
 // none of its runs goes on. Some entries notice it late, behind a cut, and would
 // hold places there that the new process has free.
-func (s *Slots) Vacate(now time.Time, u *upstr.Upstream) {
+func (s *Slots) FreeUpstream(now time.Time, u *upstr.Upstream) {
 	for _, tickets := range s.held {
 		for _, v := range tickets {
-			if v.Up == u {
+			if v.Upstream == u {
 				s.release(now, v)
 			}
 		}
@@ -180,7 +180,7 @@
 func (s *Slots) Sweep(now time.Time, limit time.Duration, look func(*slot.Slot)) {
 	for _, tickets := range s.held {
 		for _, v := range tickets {
-			if now.Sub(v.Since) > limit {
+			if now.Sub(v.GrantedAt) > limit {
 				s.drop(v)
 				continue
 			}
@@ -190,8 +190,8 @@
 	maps.DeleteFunc(s.released, func(_ key, at time.Time) bool { return now.Sub(at) > releasedKeep })
 }
 
-// Account is the number of slots that a client account holds.
-func (s *Slots) Account(name string) int { return s.accounts[name] }
+// AccountLen is the number of slots that a client account holds.
+func (s *Slots) AccountLen(name string) int { return s.accounts[name] }
 
 // Len is the number of slots held.
 func (s *Slots) Len() int { return s.n }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -74,7 +74,7 @@
 					return
 				}
 				u := rapid.SampledFrom(ups).Draw(t, "up")
-				d := s.Grant(now, &slot.Slot{Up: u, Ticket: tk, Long: tk.GetId()%2 == 0}, time.Second)
+				d := s.Grant(now, &slot.Slot{Upstream: u, Ticket: tk, Long: tk.GetId()%2 == 0}, time.Second)
 				h := &wire.HeldSlot{Ticket: tk, Grant: d.GetGrant()}
 				m.add(h, now)
 				past = append(past, h)
@@ -118,9 +118,9 @@
 						list = append(list, h)
 					}
 				}
-				s.Hold(now, inc, list, brief, byName)
+				s.Reconcile(now, inc, list, brief, byName)
 				m.drop(func(h *wire.HeldSlot) bool {
-					return h.GetTicket().GetIncarnation() == inc && !listed[h.GetTicket().GetId()] && now.Sub(m.since[h]) > slots.HeldGrace
+					return h.GetTicket().GetIncarnation() == inc && !listed[h.GetTicket().GetId()] && now.Sub(m.since[h]) > slots.ReconcileGrace
 				})
 				for _, h := range list {
 					if !m.released[h] && m.find(h.GetTicket()) == nil {
@@ -130,7 +130,7 @@
 			},
 			"forget": func(t *rapid.T) {
 				inc := incarnation.Draw(t, "inc")
-				s.Forget(inc)
+				s.FreeEntry(inc)
 				m.drop(func(h *wire.HeldSlot) bool { return h.GetTicket().GetIncarnation() == inc })
 			},
 			"wait": func(t *rapid.T) {
@@ -146,7 +146,7 @@
 						}
 					}
 					must.Eq(t, n, u.Running)
-					must.Eq(t, int64(3*n), u.Tokens)
+					must.Eq(t, int64(3*n), u.ReservedTokens)
 				}
 			},
 		})
@@ -158,7 +158,7 @@
 func TestSweep(t *testing.T) {
 	var s slots.Slots
 	u, now := upstr.New("a"), time.Unix(0, 0)
-	s.Grant(now, &slot.Slot{Up: u, Ticket: &wire.Ticket{Id: 1}}, time.Second)
+	s.Grant(now, &slot.Slot{Upstream: u, Ticket: &wire.Ticket{Id: 1}}, time.Second)
 	s.Sweep(now.Add(time.Minute), time.Minute, func(*slot.Slot) {})
 	must.Eq(t, 1, u.Running)
 	s.Sweep(now.Add(time.Minute+1), time.Minute, func(*slot.Slot) {})
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 	"google.golang.org/protobuf/proto"
 
-	"azurelane/core/held"
+	"azurelane/core/grants"
 	"azurelane/core/refuse"
 	"azurelane/core/wire"
 )
@@ -59,7 +59,7 @@
 
 		mu             sync.Mutex
 		pending        map[*pendingCall]struct{}
-		held           held.Held
+		held           grants.Set
 		lastListOwner  map[string]string // Incarnation that received the last list of a pool.
 		listRounds     int               // Periodic lists sent so far.
 		remotes        map[netip.AddrPort]*remoteSlots
@@ -242,7 +242,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.held.Drop(time.Now(), r.GetPool(), r.GetTicket())
+	g.held.Remove(time.Now(), r.GetPool(), r.GetTicket())
 	g.mu.Unlock()
 	m := g.Members.Owner(r.GetPool())
 	if m == nil {
@@ -275,7 +275,7 @@
 	if d.GetGrant() != nil {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.held.Put(time.Now(), t, d.GetGrant())
+		g.held.Add(time.Now(), t, d.GetGrant())
 	}
 	return d.GetGrant(), nil
 }
--- a/io/grant/held_lists.go
+++ b/io/grant/held_lists.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"azurelane/core/held"
+	"azurelane/core/grants"
 	"azurelane/core/wire"
 )
 
@@ -84,7 +84,7 @@
 		if newOwnersOnly && !l.newOwner {
 			continue
 		}
-		age := held.Settled
+		age := grants.MinListAge
 		if l.newOwner {
 			age = 0
 		}
--- a/io/grant/remote.go
+++ b/io/grant/remote.go
@@ -7,14 +7,14 @@
 
 	"github.com/pkg/errors"
 
-	"azurelane/core/held"
+	"azurelane/core/grants"
 	"azurelane/core/refuse"
 	"azurelane/core/wire"
 )
 
 // remoteSlots holds the slots that this entry obtained through one entry of another data centre.
 type remoteSlots struct {
-	held.Held
+	grants.Set
 	addr netip.AddrPort
 }
 
@@ -80,7 +80,7 @@
 		f = &remoteSlots{addr: to}
 		g.remotes[to] = f
 	}
-	f.Put(time.Now(), t, r)
+	f.Add(time.Now(), t, r)
 	g.remoteByTicket[t.GetId()] = f
 }
 
@@ -91,7 +91,7 @@
 	f := g.remoteByTicket[r.GetTicket()]
 	if f != nil {
 		delete(g.remoteByTicket, r.GetTicket())
-		f.Drop(time.Now(), r.GetPool(), r.GetTicket())
+		f.Remove(time.Now(), r.GetPool(), r.GetTicket())
 	}
 	g.mu.Unlock()
 	if f == nil {
