--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -93,7 +93,7 @@
 // Announce records an upstream's lease and grants the waiting tickets that now fit.
 func (b *Batch) Announce(now time.Time, a *wire.Announce) []*wire.Decision {
 	if u := b.table.Named(a.GetUpstream()); u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
-		b.slots.Vacate(now, u) // The runs of the previous process ended with it.
+		b.slots.FreeUpstream(now, u) // The runs of the previous process ended with it.
 		b.engine(u).stats = b.newEngineStats()
 	}
 	b.table.Put(now, a)
@@ -161,12 +161,12 @@
 			list = append(list, s)
 		}
 	}
-	b.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), b.table.Named)
+	b.slots.Reconcile(now, h.GetIncarnation(), list, h.GetTickets(), b.table.Named)
 }
 
 // Forget drops the tickets and slots of a dead entry.
 func (b *Batch) Forget(now time.Time, incarnation string) []*wire.Decision {
-	b.slots.Forget(incarnation)
+	b.slots.FreeEntry(incarnation)
 	b.removeIf(func(i *item) bool { return i.GetIncarnation() == incarnation })
 	return b.assign(now)
 }
--- a/core/late/late.go
+++ b/core/late/late.go
@@ -154,13 +154,13 @@
 			list = append(list, s)
 		}
 	}
-	l.slots.Hold(now, h.GetIncarnation(), list, h.GetTickets(), l.table.Named)
+	l.slots.Reconcile(now, h.GetIncarnation(), list, h.GetTickets(), l.table.Named)
 	l.stale = true
 }
 
 // Forget drops a dead entry's tickets and slots.
 func (l *Late) Forget(now time.Time, incarnation string) []*wire.Decision {
-	l.slots.Forget(incarnation)
+	l.slots.FreeEntry(incarnation)
 	l.stale = true
 	l.queue.Drop(func(i *item.Item) bool { return i.GetIncarnation() == incarnation })
 	return l.assign(now)
@@ -215,7 +215,7 @@
 // would find no place.
 func (l *Late) grant(now time.Time, i *item.Item) (*wire.Decision, bool) {
 	only, confined := l.blame.Confined(now, i.GetAccount())
-	if confined && l.slots.Account(i.GetAccount()) > 0 {
+	if confined && l.slots.AccountLen(i.GetAccount()) > 0 {
 		return nil, false
 	}
 	s, full := l.place.Pick(now, l.open, i, l.usual.short(now), only)
--- a/core/local/local.go
+++ b/core/local/local.go
@@ -72,7 +72,7 @@
 
 // Forget frees a dead entry's slots.
 func (l *Local) Forget(_ time.Time, incarnation string) []*wire.Decision {
-	l.slots.Forget(incarnation)
+	l.slots.FreeEntry(incarnation)
 	return nil
 }
 
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -14,35 +14,35 @@
 	// Slots holds the grants of one pool that have not been released: at most
 	// one a ticket. The zero value is empty and ready.
 	Slots struct {
-		last     uint64
+		lastNumber     uint64
 		held     map[string]map[uint64]*slot.Slot // By entry incarnation and ticket.
 		accounts map[string]int
-		n        int
-		released map[key]time.Time
+		count        int
+		released map[slotID]time.Time
 	}
 
-	// key names a slot for good. Owners number their slots by themselves.
-	key struct {
+	// slotID names a slot for good. Owners number their slots by themselves.
+	slotID struct {
 		incarnation, owner string
 		ticket, number     uint64
 	}
 )
 
 const (
-	// HeldGrace is how old a slot must be before its absence from the list of
+	// ReconcileGrace is how old a slot must be before its absence from the list of
 	// its entry frees it. A grant is on its way to the entry for less than that.
-	HeldGrace = 5 * time.Second
-	// releasedKeep is how long a released slot can't be adopted again. Lists
+	ReconcileGrace = 5 * time.Second
+	// releasedRetention is how long a released slot can't be adopted again. Lists
 	// of held slots are not underway for longer.
-	releasedKeep = 10 * time.Second
+	releasedRetention = 10 * time.Second
 )
 
 // Grant takes a slot for s.Ticket on s.Up, numbers it and returns the decision.
 func (s *Slots) Grant(now time.Time, g *slot.Slot, ttl time.Duration) *wire.Decision {
-	s.last++
-	g.Number, g.Since, g.Owner = s.last, now, ""
+	s.lastNumber++
+	g.Number, g.Since, g.Owner = s.lastNumber, now, ""
 	g.Up.Meter.Take(now)
-	s.put(g)
+	s.add(g)
 	t := g.Ticket
 	return &wire.Decision{
 		Ticket: t.GetId(), Entry: t.GetEntry(), Incarnation: t.GetIncarnation(),
@@ -53,7 +53,7 @@
 	}
 }
 
-// Hold reconciles the slots of an entry with the list that it sent. The list
+// Reconcile reconciles the slots of an entry with the list that it sent. The list
 // is the truth, since only the entry knows what it dispatched:
 //
 //   - A listed slot that isn't known is adopted. A former owner granted it, or
@@ -66,7 +66,7 @@
 // released slots are remembered for a while. Tickets names slots that stood in
 // a list before; one that isn't known is adopted when it stands in a list again.
 // Up finds an upstream by name.
-func (s *Slots) Hold(now time.Time, incarnation string, list []*wire.HeldSlot, tickets []uint64, up func(string) *upstr.Upstream) {
+func (s *Slots) Reconcile(now time.Time, incarnation string, list []*wire.HeldSlot, tickets []uint64, up func(string) *upstr.Upstream) {
 	listed := make(map[uint64]bool, len(list)+len(tickets))
 	for _, id := range tickets {
 		listed[id] = true
@@ -74,31 +74,31 @@
 	for _, h := range list {
 		t, g := h.GetTicket(), h.GetGrant()
 		listed[t.GetId()] = true
-		k := key{incarnation, g.GetOwner(), t.GetId(), g.GetSlot()}
+		k := slotID{incarnation, g.GetOwner(), t.GetId(), g.GetSlot()}
 		if _, gone := s.released[k]; gone || s.held[incarnation][t.GetId()] != nil {
 			continue
 		}
-		s.put(&slot.Slot{Up: up(g.GetUpstream()), Ticket: t, Owner: g.GetOwner(), Number: g.GetSlot(), Since: now})
+		s.add(&slot.Slot{Up: up(g.GetUpstream()), Ticket: t, Owner: g.GetOwner(), Number: g.GetSlot(), Since: now})
 	}
 	for id, v := range s.held[incarnation] {
-		if !listed[id] && now.Sub(v.Since) > HeldGrace {
-			s.drop(v)
+		if !listed[id] && now.Sub(v.Since) > ReconcileGrace {
+			s.remove(v)
 		}
 	}
 }
 
-func (s *Slots) put(v *slot.Slot) {
+func (s *Slots) add(v *slot.Slot) {
 	if s.held == nil {
 		s.held = map[string]map[uint64]*slot.Slot{}
 		s.accounts = map[string]int{}
-		s.released = map[key]time.Time{}
+		s.released = map[slotID]time.Time{}
 	}
 	inc := v.Ticket.GetIncarnation()
 	if s.held[inc] == nil {
 		s.held[inc] = map[uint64]*slot.Slot{}
 	}
 	s.held[inc][v.Ticket.GetId()] = v
-	s.n++
+	s.count++
 	s.accounts[v.Ticket.GetAccount()]++
 	v.Up.Running++
 	v.Up.Tokens += v.Tokens()
@@ -107,13 +107,13 @@
 	}
 }
 
-func (s *Slots) drop(v *slot.Slot) {
+func (s *Slots) remove(v *slot.Slot) {
 	inc := v.Ticket.GetIncarnation()
 	delete(s.held[inc], v.Ticket.GetId())
 	if len(s.held[inc]) == 0 {
 		delete(s.held, inc)
 	}
-	s.n--
+	s.count--
 	if a := v.Ticket.GetAccount(); s.accounts[a] > 1 {
 		s.accounts[a]--
 	} else {
@@ -150,22 +150,22 @@
 
 // release drops a slot and remembers it, so that no list brings it back.
 func (s *Slots) release(now time.Time, v *slot.Slot) *slot.Slot {
-	s.drop(v)
-	s.released[key{v.Ticket.GetIncarnation(), v.Owner, v.Ticket.GetId(), v.Number}] = now
+	s.remove(v)
+	s.released[slotID{v.Ticket.GetIncarnation(), v.Owner, v.Ticket.GetId(), v.Number}] = now
 	return v
 }
 
-// Forget frees every slot that an entry's incarnation held.
-func (s *Slots) Forget(incarnation string) {
+// FreeEntry frees every slot that an entry's incarnation held.
+func (s *Slots) FreeEntry(incarnation string) {
 	for _, v := range s.held[incarnation] {
-		s.drop(v)
+		s.remove(v)
 	}
 }
 
-// Vacate frees every slot on an upstream: its process has started anew, so that
+// FreeUpstream frees every slot on an upstream: its process has started anew, so that
 // none of its runs goes on. Some entries notice it late, behind a cut, and would
 // hold places there that the new process has free.
-func (s *Slots) Vacate(now time.Time, u *upstr.Upstream) {
+func (s *Slots) FreeUpstream(now time.Time, u *upstr.Upstream) {
 	for _, tickets := range s.held {
 		for _, v := range tickets {
 			if v.Up == u {
@@ -181,17 +181,17 @@
 	for _, tickets := range s.held {
 		for _, v := range tickets {
 			if now.Sub(v.Since) > limit {
-				s.drop(v)
+				s.remove(v)
 				continue
 			}
 			look(v)
 		}
 	}
-	maps.DeleteFunc(s.released, func(_ key, at time.Time) bool { return now.Sub(at) > releasedKeep })
+	maps.DeleteFunc(s.released, func(_ slotID, at time.Time) bool { return now.Sub(at) > releasedRetention })
 }
 
-// Account is the number of slots that a client account holds.
-func (s *Slots) Account(name string) int { return s.accounts[name] }
+// AccountLen is the number of slots that a client account holds.
+func (s *Slots) AccountLen(name string) int { return s.accounts[name] }
 
 // Len is the number of slots held.
-func (s *Slots) Len() int { return s.n }
+func (s *Slots) Len() int { return s.count }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -118,9 +118,9 @@
 						list = append(list, h)
 					}
 				}
-				s.Hold(now, inc, list, brief, byName)
+				s.Reconcile(now, inc, list, brief, byName)
 				m.drop(func(h *wire.HeldSlot) bool {
-					return h.GetTicket().GetIncarnation() == inc && !listed[h.GetTicket().GetId()] && now.Sub(m.since[h]) > slots.HeldGrace
+					return h.GetTicket().GetIncarnation() == inc && !listed[h.GetTicket().GetId()] && now.Sub(m.since[h]) > slots.ReconcileGrace
 				})
 				for _, h := range list {
 					if !m.released[h] && m.find(h.GetTicket()) == nil {
@@ -130,7 +130,7 @@
 			},
 			"forget": func(t *rapid.T) {
 				inc := incarnation.Draw(t, "inc")
-				s.Forget(inc)
+				s.FreeEntry(inc)
 				m.drop(func(h *wire.HeldSlot) bool { return h.GetTicket().GetIncarnation() == inc })
 			},
 			"wait": func(t *rapid.T) {
