--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -132,17 +132,17 @@
 			route.addBrokenRun(s.Ticket)
 		}
 	}
-	stats := b.engine(s.Up).stats
+	stats := b.engine(s.Upstream).stats
 	if r.GetFirstTokenUs() > 0 {
-		stats.prefillDone(s.Since, now.Add(-time.Duration(r.GetTotalUs()-r.GetFirstTokenUs())*time.Microsecond))
+		stats.prefillDone(s.GrantedAt, now.Add(-time.Duration(r.GetTotalUs()-r.GetFirstTokenUs())*time.Microsecond))
 	}
 	switch {
 	case r.GetBusy():
 		stats.addPrompt(now, b.pool.Slots*int64(b.costs.usualAnswer())) // Requests from elsewhere fill its queue, too.
 	case r.GetFailed():
-		stats.addFailure(now, r.GetFirstTokenUs() > 0, s.Up.GetSeq())
+		stats.addFailure(now, r.GetFirstTokenUs() > 0, s.Upstream.GetSeq())
 	case r.GetDispatched():
-		stats.addRun(now, r, s.Ticket.GetPromptTokens()-s.Kept, max(b.pool.EventTokens, 1), s.Wait)
+		stats.addRun(now, r, s.Ticket.GetPromptTokens()-s.CachedTokens, max(b.pool.EventTokens, 1), s.ExpectedWait)
 	}
 	return b.assign(now)
 }
@@ -223,12 +223,12 @@
 		i.routeStats.addOutcome(now.Sub(b.started), i.class, true, !i.isRetry && now.Sub(b.started)+e.stats.timeToFirstToken(now, e.Upstream, i.prompt) <= i.objective)
 		b.waiting = slices.Delete(b.waiting, n, n+1)
 		delete(b.waitingByKey, ticketKey{i.GetIncarnation(), i.GetId()})
-		s := &slot.Slot{Up: e.Upstream, Ticket: i.Ticket, Kept: cachedTokens(e.Upstream, i)}
-		s.Wait = e.stats.wait(now)
+		s := &slot.Slot{Upstream: e.Upstream, Ticket: i.Ticket, CachedTokens: cachedTokens(e.Upstream, i)}
+		s.ExpectedWait = e.stats.wait(now)
 		if e.GetUnreached() {
 			b.probedAt = now
 		}
-		e.stats.addPrompt(now, i.GetPromptTokens()-s.Kept)
+		e.stats.addPrompt(now, i.GetPromptTokens()-s.CachedTokens)
 		for _, p := range i.GetParts() {
 			e.Cache.Sent(now, p.GetHash())
 		}
--- a/core/late/late.go
+++ b/core/late/late.go
@@ -223,12 +223,12 @@
 		return nil, full
 	}
 	if h := i.GetPrefixHash(); h != 0 {
-		s.Up.Cache.Sent(now, h)
+		s.Upstream.Cache.Sent(now, h)
 	}
 	l.drain.granted += i.Work
 	d := l.slots.Grant(now, s, l.pool.GrantTTL)
-	if !s.Up.Room(now) {
-		l.open = slices.DeleteFunc(l.open, func(u *upstr.Upstream) bool { return u == s.Up })
+	if !s.Upstream.Room(now) {
+		l.open = slices.DeleteFunc(l.open, func(u *upstr.Upstream) bool { return u == s.Upstream })
 	}
 	return d, false
 }
--- a/core/late/learn.go
+++ b/core/late/learn.go
@@ -28,14 +28,14 @@
 		return nil
 	}
 	l.learn(now, s, r)
-	if !slices.Contains(l.open, s.Up) {
-		l.open = append(l.open, s.Up)
+	if !slices.Contains(l.open, s.Upstream) {
+		l.open = append(l.open, s.Upstream)
 	}
 	return l.assign(now)
 }
 
 func (l *Late) learn(now time.Time, s *slot.Slot, r *wire.Release) {
-	t, u := s.Ticket, s.Up
+	t, u := s.Ticket, s.Upstream
 	switch {
 	case !r.GetDispatched():
 		l.queue.Correct(t.GetAccount(), -s.Work)
@@ -59,11 +59,11 @@
 	}
 	l.blame.Done(t.GetAccount())
 	first, total := micros(r.GetFirstTokenUs()), micros(r.GetTotalUs())
-	if s.Cached && l.uncached(s, prompt, first) {
+	if s.PrefixCached && l.uncached(s, prompt, first) {
 		u.Cache.Wrong(t.GetPrefixHash())
-		s.Cached = false
+		s.PrefixCached = false
 	}
-	u.Learnt.Done(now, prompt, answer, s.Cached, first, total, u.Running+1, u.Limit())
+	u.Learnt.Done(now, prompt, answer, s.PrefixCached, first, total, u.Running+1, u.Limit())
 }
 
 // failed blames the account or the upstream. An account whose requests fail
@@ -75,20 +75,20 @@
 		return // Given up at its own deadline. Whether the upstream hangs, overdue tells.
 	}
 	if _, confined := l.blame.Confined(now, account); confined {
-		l.blame.Fail(now, account, s.Up.GetUpstream())
+		l.blame.Fail(now, account, s.Upstream.GetUpstream())
 		return
 	}
-	s.Up.Learnt.Fail(now, account)
-	if s.Up.Learnt.Blameless(now) {
-		l.blame.Fail(now, account, s.Up.GetUpstream())
+	s.Upstream.Learnt.Fail(now, account)
+	if s.Upstream.Learnt.Blameless(now) {
+		l.blame.Fail(now, account, s.Upstream.GetUpstream())
 	}
 }
 
 // uncached reports whether a run shows that the prefix was not cached.
 func (l *Late) uncached(s *slot.Slot, prompt int64, first time.Duration) bool {
-	full := s.Up.Learnt.Expect(prompt, 0, false) - s.Up.Learnt.Expect(0, 0, false)
-	saved := full - (s.Up.Learnt.Expect(prompt, 0, true) - s.Up.Learnt.Expect(0, 0, true))
-	return first > 0 && saved > 0 && first > s.Up.Learnt.Expect(0, 0, true)+time.Duration(wrongCache*float64(full))
+	full := s.Upstream.Learnt.Expect(prompt, 0, false) - s.Upstream.Learnt.Expect(0, 0, false)
+	saved := full - (s.Upstream.Learnt.Expect(prompt, 0, true) - s.Upstream.Learnt.Expect(0, 0, true))
+	return first > 0 && saved > 0 && first > s.Upstream.Learnt.Expect(0, 0, true)+time.Duration(wrongCache*float64(full))
 }
 
 // overdue takes an upstream out of service that holds a run for much longer
@@ -97,9 +97,9 @@
 // nor a lost lease would tell before the callers' deadlines.
 func (l *Late) overdue(now time.Time) func(*slot.Slot) {
 	return func(s *slot.Slot) {
-		limit := overdueFactor*s.Expect + overdueGrace
-		if s.Expect > 0 && now.Sub(s.Since) > limit && now.Sub(s.Up.Learnt.Good()) > limit {
-			s.Up.Learnt.Out(now)
+		limit := overdueFactor*s.ExpectedRun + overdueGrace
+		if s.ExpectedRun > 0 && now.Sub(s.GrantedAt) > limit && now.Sub(s.Upstream.Learnt.Good()) > limit {
+			s.Upstream.Learnt.Out(now)
 		}
 	}
 }
--- a/core/local/local.go
+++ b/core/local/local.go
@@ -53,7 +53,7 @@
 	if len(live) == 0 {
 		return []*wire.Decision{refuse.Ticket(t, refuse.NoUpstream, retryAfter)}
 	}
-	return []*wire.Decision{l.slots.Grant(now, &slot.Slot{Up: pick(live), Ticket: t}, l.pool.GrantTTL)}
+	return []*wire.Decision{l.slots.Grant(now, &slot.Slot{Upstream: pick(live), Ticket: t}, l.pool.GrantTTL)}
 }
 
 // Release frees the slot.
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -89,7 +89,7 @@
 		best = near
 	}
 	return &slot.Slot{
-		Up: best.up, Ticket: i.Ticket, Work: i.Work, Long: i.Long && i.Level() > 0, Cached: best.cached, Expect: best.expect,
+		Upstream: best.up, Ticket: i.Ticket, Work: i.Work, Long: i.Long && i.Level() > 0, PrefixCached: best.cached, ExpectedRun: best.expect,
 	}, false
 }
 
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -75,14 +75,14 @@
 	homes := map[uint64]string{}
 	used := map[string]int{}
 	for prefix := uint64(1); prefix <= 400; prefix++ {
-		homes[prefix] = pick(p, start, ups, request(prefix*7919)).Up.GetUpstream()
+		homes[prefix] = pick(p, start, ups, request(prefix*7919)).Upstream.GetUpstream()
 		used[homes[prefix]]++
 	}
 	for name, n := range used {
 		must.Between(t, 20, n, 90, must.Sprint(name))
 	}
 	for prefix, home := range homes {
-		now := pick(p, start, ups[1:], request(prefix*7919)).Up.GetUpstream()
+		now := pick(p, start, ups[1:], request(prefix*7919)).Upstream.GetUpstream()
 		must.True(t, home == "up-0" || home == now)
 	}
 }
@@ -98,17 +98,17 @@
 	i.PromptTokens = 100 // So few that the detour, and not the saving, decides.
 	hear(b, 5)
 	s := pick(p, start, ups, i)
-	must.Eq(t, "up-1", s.Up.GetUpstream())
-	must.True(t, s.Cached)
+	must.Eq(t, "up-1", s.Upstream.GetUpstream())
+	must.True(t, s.PrefixCached)
 	b.Cache.Wrong(5)
-	must.False(t, pick(p, start, ups, i).Cached)
+	must.False(t, pick(p, start, ups, i).PrefixCached)
 	b.Cache.Sent(start, 5)
 	hear(b) // An event with a gap.
 	s = pick(p, start, ups, i)
-	must.Eq(t, "up-1", s.Up.GetUpstream())
-	must.True(t, s.Cached)
+	must.Eq(t, "up-1", s.Upstream.GetUpstream())
+	must.True(t, s.PrefixCached)
 	b.Running = 3
-	must.Eq(t, "up-0", pick(p, start, ups, i).Up.GetUpstream(), must.Sprint("too full against the mean"))
+	must.Eq(t, "up-0", pick(p, start, ups, i).Upstream.GetUpstream(), must.Sprint("too full against the mean"))
 }
 
 // Whatever is believed of caches, the upstream picked has room, serves the
@@ -145,12 +145,12 @@
 		}
 		s, _ := p.Pick(start, open, i, short, "")
 		if s != nil {
-			must.True(t, ok(s.Up))
+			must.True(t, ok(s.Upstream))
 		}
 		for _, u := range speeds {
 			if ok(u) {
 				must.NotNil(t, s)
-				must.LessEq(t, at(u)*(1+p.Detour)+1e-6, at(s.Up))
+				must.LessEq(t, at(u)*(1+p.Detour)+1e-6, at(s.Upstream))
 			}
 		}
 	})
--- a/core/slot/slot.go
+++ b/core/slot/slot.go
@@ -10,17 +10,17 @@
 
 // Slot is what one grant takes up at an upstream.
 type Slot struct {
-	Up     *upstr.Upstream
+	Upstream     *upstr.Upstream
 	Ticket *wire.Ticket
 	Owner  string // Incarnation of the owner that granted it; empty for this one.
 	Number uint64 // Of the owner.
-	Since  time.Time
-	Expect time.Duration // Expected time of the run; zero when not known.
+	GrantedAt  time.Time
+	ExpectedRun time.Duration // Expected time of the run; zero when not known.
 	Work   float64       // Work units charged to the client account.
 	Long   bool
-	Kept   int64         // Tokens of the prompt that the upstream was believed to have kept.
-	Cached bool          // The prefix was believed to be cached.
-	Wait   time.Duration // Expected until its upstream begins with it.
+	CachedTokens   int64         // Tokens of the prompt that the upstream was believed to have kept.
+	PrefixCached bool          // The prefix was believed to be cached.
+	ExpectedWait   time.Duration // Expected until its upstream begins with it.
 }
 
 // Tokens is what the request takes up in the upstream's cache.
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -40,15 +40,15 @@
 // Grant takes a slot for s.Ticket on s.Up, numbers it and returns the decision.
 func (s *Slots) Grant(now time.Time, g *slot.Slot, ttl time.Duration) *wire.Decision {
 	s.lastNumber++
-	g.Number, g.Since, g.Owner = s.lastNumber, now, ""
-	g.Up.Meter.Take(now)
+	g.Number, g.GrantedAt, g.Owner = s.lastNumber, now, ""
+	g.Upstream.Meter.Take(now)
 	s.add(g)
 	t := g.Ticket
 	return &wire.Decision{
 		Ticket: t.GetId(), Entry: t.GetEntry(), Incarnation: t.GetIncarnation(),
 		Kind: &wire.Decision_Grant{Grant: &wire.Grant{
-			Slot: g.Number, Upstream: g.Up.GetUpstream(), Address: g.Up.GetAddress(), ExpiresUs: ttl.Microseconds(),
-			CanResume: g.Up.GetCanResume(),
+			Slot: g.Number, Upstream: g.Upstream.GetUpstream(), Address: g.Upstream.GetAddress(), ExpiresUs: ttl.Microseconds(),
+			CanResume: g.Upstream.GetCanResume(),
 		}},
 	}
 }
@@ -78,10 +78,10 @@
 		if _, gone := s.released[k]; gone || s.held[incarnation][t.GetId()] != nil {
 			continue
 		}
-		s.add(&slot.Slot{Up: up(g.GetUpstream()), Ticket: t, Owner: g.GetOwner(), Number: g.GetSlot(), Since: now})
+		s.add(&slot.Slot{Upstream: up(g.GetUpstream()), Ticket: t, Owner: g.GetOwner(), Number: g.GetSlot(), GrantedAt: now})
 	}
 	for id, v := range s.held[incarnation] {
-		if !listed[id] && now.Sub(v.Since) > ReconcileGrace {
+		if !listed[id] && now.Sub(v.GrantedAt) > ReconcileGrace {
 			s.remove(v)
 		}
 	}
@@ -100,10 +100,10 @@
 	s.held[inc][v.Ticket.GetId()] = v
 	s.count++
 	s.accounts[v.Ticket.GetAccount()]++
-	v.Up.Running++
-	v.Up.Tokens += v.Tokens()
+	v.Upstream.Running++
+	v.Upstream.Tokens += v.Tokens()
 	if v.Long {
-		v.Up.Long++
+		v.Upstream.Long++
 	}
 }
 
@@ -119,10 +119,10 @@
 	} else {
 		delete(s.accounts, a)
 	}
-	v.Up.Running--
-	v.Up.Tokens -= v.Tokens()
+	v.Upstream.Running--
+	v.Upstream.Tokens -= v.Tokens()
 	if v.Long {
-		v.Up.Long--
+		v.Upstream.Long--
 	}
 }
 
@@ -168,7 +168,7 @@
 func (s *Slots) FreeUpstream(now time.Time, u *upstr.Upstream) {
 	for _, tickets := range s.held {
 		for _, v := range tickets {
-			if v.Up == u {
+			if v.Upstream == u {
 				s.release(now, v)
 			}
 		}
@@ -180,7 +180,7 @@
 func (s *Slots) Sweep(now time.Time, limit time.Duration, look func(*slot.Slot)) {
 	for _, tickets := range s.held {
 		for _, v := range tickets {
-			if now.Sub(v.Since) > limit {
+			if now.Sub(v.GrantedAt) > limit {
 				s.remove(v)
 				continue
 			}
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -74,7 +74,7 @@
 					return
 				}
 				u := rapid.SampledFrom(ups).Draw(t, "up")
-				d := s.Grant(now, &slot.Slot{Up: u, Ticket: tk, Long: tk.GetId()%2 == 0}, time.Second)
+				d := s.Grant(now, &slot.Slot{Upstream: u, Ticket: tk, Long: tk.GetId()%2 == 0}, time.Second)
 				h := &wire.HeldSlot{Ticket: tk, Grant: d.GetGrant()}
 				m.add(h, now)
 				past = append(past, h)
@@ -158,7 +158,7 @@
 func TestSweep(t *testing.T) {
 	var s slots.Slots
 	u, now := upstr.New("a"), time.Unix(0, 0)
-	s.Grant(now, &slot.Slot{Up: u, Ticket: &wire.Ticket{Id: 1}}, time.Second)
+	s.Grant(now, &slot.Slot{Upstream: u, Ticket: &wire.Ticket{Id: 1}}, time.Second)
 	s.Sweep(now.Add(time.Minute), time.Minute, func(*slot.Slot) {})
 	must.Eq(t, 1, u.Running)
 	s.Sweep(now.Add(time.Minute+1), time.Minute, func(*slot.Slot) {})
