--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -204,7 +204,7 @@
 }
 
 func (b *Batch) fitsCache(u *upstr.Upstream, tokens int64) bool {
-	return b.pool.CacheTokens == 0 || float64(u.Tokens+tokens) <= maxCacheUse*float64(b.pool.CacheTokens)
+	return b.pool.CacheTokens == 0 || float64(u.ReservedTokens+tokens) <= maxCacheUse*float64(b.pool.CacheTokens)
 }
 
 // assign grants free slots to the waiting tickets with the highest scores.
@@ -264,7 +264,7 @@
 func (b *Batch) retryAfter(i *item) time.Duration {
 	slotCount := int64(0)
 	for _, u := range b.table.All() {
-		slotCount += int64(u.Limit())
+		slotCount += int64(u.AnnouncedLimit())
 	}
 	var work time.Duration
 	for _, w := range b.waiting {
--- a/core/batch/engine.go
+++ b/core/batch/engine.go
@@ -113,10 +113,10 @@
 			continue
 		}
 		b.bestCase.add(stats)
-		if e.Running >= e.Limit()+engineQueueLimit || !b.fitsCache(e.Upstream, 0) {
+		if e.Running >= e.AnnouncedLimit()+engineQueueLimit || !b.fitsCache(e.Upstream, 0) {
 			continue
 		}
-		o := offer{engine: e, batchFull: e.Running >= e.Limit(), firstToken: stats.timeToFirstToken(now, e.Upstream, 0), perToken: stats.perToken()}
+		o := offer{engine: e, batchFull: e.Running >= e.AnnouncedLimit(), firstToken: stats.timeToFirstToken(now, e.Upstream, 0), perToken: stats.perToken()}
 		o.prefillWait = stats.wait(now)
 		o.failurePenalty = time.Duration((1 - stats.successShare) * float64(time.Second))
 		b.offers = append(b.offers, o)
--- a/core/batch/enginestats.go
+++ b/core/batch/enginestats.go
@@ -69,10 +69,10 @@
 // timeToFirstToken returns the time from now to the first token for a prompt.
 func (s *engineStats) timeToFirstToken(now time.Time, u *upstr.Upstream, prompt int64) time.Duration {
 	d := s.wait(now) + s.overhead() + s.prefillTime(prompt)
-	if over := u.Running - u.Limit(); over >= 0 {
+	if over := u.Running - u.AnnouncedLimit(); over >= 0 {
 		// The request waits in the engine's queue for a free slot. The slots of a batch become
 		// free evenly, about one in each average run time divided by the batch size.
-		d += time.Duration(float64(over+1) * s.costs.usualAnswer() * float64(s.perToken()) / float64(max(u.Limit(), 1)))
+		d += time.Duration(float64(over+1) * s.costs.usualAnswer() * float64(s.perToken()) / float64(max(u.AnnouncedLimit(), 1)))
 	}
 	return d
 }
--- a/core/batch/shed.go
+++ b/core/batch/shed.go
@@ -89,7 +89,7 @@
 	meanSlotTime := sum.Seconds() / float64(len(b.waiting))
 	total := 0.0
 	for _, e := range b.knownEngines() {
-		rate := float64(e.Limit()) / meanSlotTime
+		rate := float64(e.AnnouncedLimit()) / meanSlotTime
 		if limit, ok := e.Meter.Rate(); ok {
 			rate = min(rate, limit)
 		}
--- a/core/late/admit.go
+++ b/core/late/admit.go
@@ -30,14 +30,14 @@
 // serves it, zero while one of them is unknown. Most often the one that is
 // fastest for usual runs is fast enough, and the others need no look.
 func (l *Late) fastest(now time.Time, i *item.Item) time.Duration {
-	if u := l.quick; u != nil && u.Live(now) && u.Serves(i.Ticket) {
+	if u := l.quick; u != nil && u.Live(now) && u.Eligible(i.Ticket) {
 		if e := l.place.Safe(u, i.Ticket); !now.Add(e).After(i.Deadline) {
 			return e
 		}
 	}
 	best := time.Duration(-1)
 	for _, u := range l.table.All() {
-		if !u.Live(now) || !u.Serves(i.Ticket) {
+		if !u.Live(now) || !u.Eligible(i.Ticket) {
 			continue
 		}
 		if e := l.place.Safe(u, i.Ticket); best < 0 || e < best {
@@ -97,5 +97,5 @@
 
 // served reports whether a live upstream may run the ticket.
 func (l *Late) served(now time.Time, t *wire.Ticket) bool {
-	return slices.ContainsFunc(l.table.All(), func(u *upstr.Upstream) bool { return u.Live(now) && u.Serves(t) })
+	return slices.ContainsFunc(l.table.All(), func(u *upstr.Upstream) bool { return u.Live(now) && u.Eligible(t) })
 }
--- a/core/late/late.go
+++ b/core/late/late.go
@@ -227,7 +227,7 @@
 	}
 	l.drain.granted += i.Work
 	d := l.slots.Grant(now, s, l.pool.GrantTTL)
-	if !s.Upstream.Room(now) {
+	if !s.Upstream.HasRoom(now) {
 		l.open = slices.DeleteFunc(l.open, func(u *upstr.Upstream) bool { return u == s.Upstream })
 	}
 	return d, false
--- a/core/late/sweep.go
+++ b/core/late/sweep.go
@@ -45,12 +45,12 @@
 			continue
 		}
 		l.live++
-		l.place.Alone = l.place.Alone && u.Learnt.Trial()
-		e := u.Learnt.Expect(prompt, answer, false)
+		l.place.Alone = l.place.Alone && u.Observed.Trial()
+		e := u.Observed.Expect(prompt, answer, false)
 		if e <= 0 {
 			continue
 		}
-		l.rate += float64(u.Most(now)) * limit.Cost(prompt, answer) / e.Seconds()
+		l.rate += float64(u.EffectiveLimit(now)) * limit.Cost(prompt, answer) / e.Seconds()
 		l.place.Usual = max(l.place.Usual, e)
 		if l.quick == nil || e < quickest {
 			l.quick, quickest = u, e
--- a/core/least/least.go
+++ b/core/least/least.go
@@ -39,5 +39,5 @@
 }
 
 func load(u *upstr.Upstream) float64 {
-	return float64(u.GetRunning()+u.GetQueued()) / float64(u.Limit())
+	return float64(u.GetRunning()+u.GetQueued()) / float64(u.AnnouncedLimit())
 }
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -45,7 +45,7 @@
 func Open(now time.Time, all, into []*upstr.Upstream) []*upstr.Upstream {
 	into = into[:0]
 	for _, u := range all {
-		if u.Room(now) {
+		if u.HasRoom(now) {
 			into = append(into, u)
 		}
 	}
@@ -116,15 +116,15 @@
 }
 
 func (p Place) weigh(now time.Time, u *upstr.Upstream, i *item.Item) choice {
-	c := choice{up: u, weight: u.Weight(i.GetPrefixHash())}
+	c := choice{up: u, weight: u.RendezvousWeight(i.GetPrefixHash())}
 	c.cached = i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash())
-	c.expect = u.Learnt.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
+	c.expect = u.Observed.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
 	run := c.expect
-	if !u.Learnt.Known() {
+	if !u.Observed.Known() {
 		run = p.Usual
 	}
 	c.at = run + time.Duration(float64(run)*batchCost*filled(now, u))
-	if i.Deadline.IsZero() || !u.Learnt.Known() {
+	if i.Deadline.IsZero() || !u.Observed.Known() {
 		return c
 	}
 	c.late = now.Add(p.Safe(u, i.Ticket)).After(i.Deadline)
@@ -135,8 +135,8 @@
 // judgement of deadlines: without the belief in a cache, which may be wrong,
 // and with the preset's margin. It is zero while nothing is known.
 func (p Place) Safe(u *upstr.Upstream, t *wire.Ticket) time.Duration {
-	run := u.Learnt.Expect(t.GetPromptTokens(), t.GetAnswerTokens(), false)
-	return time.Duration(float64(run) * (1 + p.Margin*u.Learnt.Miss()))
+	run := u.Observed.Expect(t.GetPromptTokens(), t.GetAnswerTokens(), false)
+	return time.Duration(float64(run) * (1 + p.Margin*u.Observed.Miss()))
 }
 
 // worthwhile bounds what the cache may cost: near must not be much later than
@@ -144,7 +144,7 @@
 func (p Place) worthwhile(now time.Time, i *item.Item, near, best choice, mean float64) bool {
 	return i.GetPrefixHash() != 0 && i.GetPromptTokens() >= shortPrompt &&
 		near.at <= best.at+time.Duration(p.Detour*float64(best.at)) &&
-		filled(now, near.up) <= bound*mean+1/float64(max(near.up.Most(now), 1))
+		filled(now, near.up) <= bound*mean+1/float64(max(near.up.EffectiveLimit(now), 1))
 }
 
 // room reports whether an open upstream has room for items like this one.
@@ -155,24 +155,24 @@
 	if !u.HasModel(i.GetModel()) {
 		return false
 	}
-	if most := u.Most(now); i.Long && i.Level() > 0 && short && most > 1 {
-		return u.Long < most-max(most/reserve, 1)
+	if most := u.EffectiveLimit(now); i.Long && i.Level() > 0 && short && most > 1 {
+		return u.LongRunning < most-max(most/reserve, 1)
 	}
 	return true
 }
 
 // takes reports whether the upstream may run this very item.
 func (p Place) takes(u *upstr.Upstream, i *item.Item, only string) bool {
-	if (only != "" && u.GetUpstream() != only) || !u.Serves(i.Ticket) {
+	if (only != "" && u.GetUpstream() != only) || !u.Eligible(i.Ticket) {
 		return false
 	}
-	if n := u.GetMaxTokens(); n > 0 && u.Running > 0 && u.Tokens+i.GetPromptTokens()+i.GetAnswerTokens() > n {
+	if n := u.GetMaxTokens(); n > 0 && u.Running > 0 && u.ReservedTokens+i.GetPromptTokens()+i.GetAnswerTokens() > n {
 		return false
 	}
 	// An upstream that comes back isn't tried with an alert while there is another.
-	return !u.Learnt.Trial() || i.Level() > 0 || p.Alone
+	return !u.Observed.Trial() || i.Level() > 0 || p.Alone
 }
 
 func filled(now time.Time, u *upstr.Upstream) float64 {
-	return float64(u.Running) / float64(max(u.Most(now), 1))
+	return float64(u.Running) / float64(max(u.EffectiveLimit(now), 1))
 }
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -31,18 +31,18 @@
 	u := upstr.New(fmt.Sprint("up-", i))
 	hear(u)
 	u.Announce.MaxRunning = running
-	u.Heard(start, u.Announce)
+	u.Update(start, u.Announce)
 	for n := range int64(50) {
 		prompt, answer := 50+n*40, 10+n%7*30
 		first := time.Duration(slow * 100 * float64(prompt) * float64(time.Microsecond))
 		total := first + time.Duration(slow*float64(answer)*float64(time.Millisecond))
-		u.Learnt.Done(start, prompt, answer, false, first, total, 1, int(running))
+		u.Observed.Done(start, prompt, answer, false, first, total, 1, int(running))
 	}
 	return u
 }
 
 func hear(u *upstr.Upstream, cached ...uint64) {
-	u.Heard(start, &wire.Announce{
+	u.Update(start, &wire.Announce{
 		Upstream: u.GetUpstream(), MaxRunning: u.GetMaxRunning(), LeaseUs: time.Minute.Microseconds(), CachedPrefixes: cached,
 	})
 }
@@ -129,18 +129,18 @@
 		}
 		for _, u := range speeds {
 			u.Running = rapid.IntRange(0, 4).Draw(t, "running")
-			u.Long = rapid.IntRange(0, u.Running).Draw(t, "longs")
+			u.LongRunning = rapid.IntRange(0, u.Running).Draw(t, "longs")
 			hear(u, rapid.SliceOfN(rapid.Uint64Range(1, 3), 0, 3).Draw(t, "cached")...)
 		}
 		open := place.Open(start, speeds, nil)
 		ok := func(u *upstr.Upstream) bool {
 			avoided := len(i.GetAvoid()) > 0 && u.GetUpstream() == "up-0"
-			reserved := i.Long && short && u.Long >= 3
+			reserved := i.Long && short && u.LongRunning >= 3
 			return u.Running < 4 && !avoided && !reserved &&
 				(i.Deadline.IsZero() || !start.Add(p.Safe(u, i.Ticket)).After(i.Deadline))
 		}
 		at := func(u *upstr.Upstream) float64 {
-			run := u.Learnt.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
+			run := u.Observed.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
 			return run.Seconds() * (1 + 0.5*float64(u.Running)/4)
 		}
 		s, _ := p.Pick(start, open, i, short, "")
@@ -160,7 +160,7 @@
 func TestTrial(t *testing.T) {
 	p := preset(t, place.Goodput)
 	ups := []*upstr.Upstream{newUp(0, 1, 4)}
-	ups[0].Learnt.Out(start)
+	ups[0].Observed.Out(start)
 	now := start.Add(2 * time.Second)
 	alert := request(0)
 	alert.Tier = wire.Tier_TIER_URGENT
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -101,9 +101,9 @@
 	s.count++
 	s.accounts[v.Ticket.GetAccount()]++
 	v.Upstream.Running++
-	v.Upstream.Tokens += v.Tokens()
+	v.Upstream.ReservedTokens += v.Tokens()
 	if v.Long {
-		v.Upstream.Long++
+		v.Upstream.LongRunning++
 	}
 }
 
@@ -120,9 +120,9 @@
 		delete(s.accounts, a)
 	}
 	v.Upstream.Running--
-	v.Upstream.Tokens -= v.Tokens()
+	v.Upstream.ReservedTokens -= v.Tokens()
 	if v.Long {
-		v.Upstream.Long--
+		v.Upstream.LongRunning--
 	}
 }
 
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -146,7 +146,7 @@
 						}
 					}
 					must.Eq(t, n, u.Running)
-					must.Eq(t, int64(3*n), u.Tokens)
+					must.Eq(t, int64(3*n), u.ReservedTokens)
 				}
 			},
 		})
--- a/core/table/table.go
+++ b/core/table/table.go
@@ -21,7 +21,7 @@
 func (t *Table) Put(now time.Time, a *wire.Announce) {
 	u := t.Named(a.GetUpstream())
 	if u.GetIncarnation() != a.GetIncarnation() || a.GetSeq() >= u.GetSeq() {
-		u.Heard(now, a)
+		u.Update(now, a)
 	}
 }
 
@@ -49,7 +49,7 @@
 // which nothing runs.
 func (t *Table) Expire(now time.Time, grace time.Duration) {
 	t.list = slices.DeleteFunc(t.list, func(u *upstr.Upstream) bool {
-		if u.Running > 0 || now.Before(u.Expires.Add(grace)) {
+		if u.Running > 0 || now.Before(u.LeaseEnd.Add(grace)) {
 			return false
 		}
 		delete(t.ups, u.GetUpstream())
--- a/core/upstr/upstr.go
+++ b/core/upstr/upstr.go
@@ -18,15 +18,15 @@
 // one that grants on it.
 type Upstream struct {
 	Running int       // Slots granted and not yet released.
-	limit   int       // As announced.
+	announcedLimit   int       // As announced.
 	leaving bool      // As announced.
-	Expires time.Time // End of the lease.
+	LeaseEnd time.Time // End of the lease.
 	*wire.Announce
-	Long   int           // Running slots of long work.
-	Tokens int64         // Tokens of the requests in the running slots.
-	Learnt limit.Limit   // From its own runs.
+	LongRunning   int           // Running slots of long work.
+	ReservedTokens int64         // Tokens of the requests in the running slots.
+	Observed limit.Limit   // From its own runs.
 	Cache  prefix.Prefix // What it has probably cached.
-	hash   uint64
+	idHash   uint64
 	Meter  meter.Meter // Of the limit that it names.
 }
 
@@ -36,14 +36,14 @@
 // New returns an upstream that is known by name alone: it isn't live until it
 // announces itself.
 func New(name string) *Upstream {
-	return &Upstream{Announce: &wire.Announce{Upstream: name}, limit: DefaultMaxRunning, hash: xxhash.Sum64String(name)}
+	return &Upstream{Announce: &wire.Announce{Upstream: name}, announcedLimit: DefaultMaxRunning, idHash: xxhash.Sum64String(name)}
 }
 
-// Heard takes an announcement. What a decision needs of it is kept beside the
+// Update takes an announcement. What a decision needs of it is kept beside the
 // upstream's slots: a decision looks at every upstream.
-func (u *Upstream) Heard(now time.Time, a *wire.Announce) {
+func (u *Upstream) Update(now time.Time, a *wire.Announce) {
 	if u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
-		u.Learnt.Return()
+		u.Observed.Return()
 		u.Meter.End()
 	}
 	if l := a.GetLimit(); l != nil {
@@ -52,11 +52,11 @@
 		u.Meter.End()
 	}
 	u.Announce = a
-	u.Expires = now.Add(time.Duration(a.GetLeaseUs()) * time.Microsecond)
+	u.LeaseEnd = now.Add(time.Duration(a.GetLeaseUs()) * time.Microsecond)
 	u.leaving = a.GetLeaving()
-	u.limit = DefaultMaxRunning
+	u.announcedLimit = DefaultMaxRunning
 	if n := a.GetMaxRunning(); n > 0 {
-		u.limit = int(n)
+		u.announcedLimit = int(n)
 	}
 	u.Cache.Told(now, a.GetCachedPrefixes())
 }
@@ -64,20 +64,20 @@
 // Live reports whether the upstream may be granted new work: its lease runs
 // and it is not leaving.
 func (u *Upstream) Live(now time.Time) bool {
-	return !u.leaving && now.Before(u.Expires)
+	return !u.leaving && now.Before(u.LeaseEnd)
 }
 
-// Room reports whether it may be granted one more request now.
-func (u *Upstream) Room(now time.Time) bool {
-	return u.Running < u.Most(now) && u.Live(now) && u.Meter.Room(now)
+// HasRoom reports whether it may be granted one more request now.
+func (u *Upstream) HasRoom(now time.Time) bool {
+	return u.Running < u.EffectiveLimit(now) && u.Live(now) && u.Meter.Room(now)
 }
 
-// Limit is the number of requests that the upstream says it runs at once.
-func (u *Upstream) Limit() int { return u.limit }
+// AnnouncedLimit is the number of requests that the upstream says it runs at once.
+func (u *Upstream) AnnouncedLimit() int { return u.announcedLimit }
 
-// Most is the number of requests that it may be given at once, by what was
+// EffectiveLimit is the number of requests that it may be given at once, by what was
 // learnt of it.
-func (u *Upstream) Most(now time.Time) int { return u.Learnt.Most(now, u.Limit()) }
+func (u *Upstream) EffectiveLimit(now time.Time) int { return u.Observed.Most(now, u.AnnouncedLimit()) }
 
 // HasModel reports whether the upstream serves the model. One that names no
 // models serves all, and a plain service's ticket names none.
@@ -85,18 +85,18 @@
 	return model == "" || len(u.GetModels()) == 0 || slices.Contains(u.GetModels(), model)
 }
 
-// Serves reports whether the upstream has the ticket's model and the request
+// Eligible reports whether the upstream has the ticket's model and the request
 // has not failed to reach it before.
-func (u *Upstream) Serves(t *wire.Ticket) bool {
+func (u *Upstream) Eligible(t *wire.Ticket) bool {
 	return u.HasModel(t.GetModel()) && !slices.Contains(t.GetAvoid(), u.GetUpstream())
 }
 
-// Weight is the upstream's rendezvous weight for a prefix: the upstream with
+// RendezvousWeight is the upstream's rendezvous weight for a prefix: the upstream with
 // the highest one is the prefix's home.
-func (u *Upstream) Weight(prefix uint64) uint64 {
+func (u *Upstream) RendezvousWeight(prefix uint64) uint64 {
 	// The finalizer of MurmurHash3 over both hashes: as even as hashing the
 	// names again, at a tenth of the time.
-	h := u.hash ^ prefix
+	h := u.idHash ^ prefix
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
