--- a/core/held/held.go
+++ b/core/grants/held.go
@@ -1,6 +1,6 @@
 // Package held keeps the slots that an entry holds, the truth about which only
 // the entry has.
-package held
+package grants
 
 import (
 	"cmp"
@@ -10,34 +10,34 @@
 	"azurelane/core/wire"
 )
 
-// Linger is how long a pool is listed after its last slot was given back. An
+// PoolRetention is how long a pool is listed after its last slot was given back. An
 // empty list frees what a lost release left taken.
-const Linger = 10 * time.Second
+const PoolRetention = 10 * time.Second
 
-// Settled is the age from which a slot stands in a periodic list. An owner
+// MinListAge is the age from which a slot stands in a periodic list. An owner
 // leaves younger absent ones alone, so listing them would only cost bytes:
 // most runs of short requests are over before.
-const Settled = 2 * time.Second
+const MinListAge = 2 * time.Second
 
 type (
-	// Held holds the slots by ticket. The zero value is empty and ready.
-	Held struct {
-		slots map[uint64]*held
+	// Set holds the slots by ticket. The zero value is empty and ready.
+	Set struct {
+		slots map[uint64]*heldSlot
 		pools map[string]time.Time // Last use of each pool.
 	}
 
-	held struct {
+	heldSlot struct {
 		*wire.HeldSlot
-		since time.Time
+		addedAt time.Time
 	}
 )
 
-// Put notes a grant.
-func (h *Held) Put(now time.Time, t *wire.Ticket, g *wire.Grant) {
+// Add notes a grant.
+func (h *Set) Add(now time.Time, t *wire.Ticket, g *wire.Grant) {
 	if h.slots == nil {
-		h.slots, h.pools = map[uint64]*held{}, map[string]time.Time{}
+		h.slots, h.pools = map[uint64]*heldSlot{}, map[string]time.Time{}
 	}
-	h.slots[t.GetId()] = &held{&wire.HeldSlot{
+	h.slots[t.GetId()] = &heldSlot{&wire.HeldSlot{
 		Ticket: &wire.Ticket{
 			Id: t.GetId(), Incarnation: t.GetIncarnation(), Account: t.GetAccount(), Pool: t.GetPool(), Model: t.GetModel(),
 			Tier: t.GetTier(), PromptTokens: t.GetPromptTokens(), AnswerTokens: t.GetAnswerTokens(), PrefixHash: t.GetPrefixHash(),
@@ -48,8 +48,8 @@
 	h.pools[t.GetPool()] = now
 }
 
-// Drop notes that the slot of a ticket was given back.
-func (h *Held) Drop(now time.Time, pool string, ticket uint64) {
+// Remove notes that the slot of a ticket was given back.
+func (h *Set) Remove(now time.Time, pool string, ticket uint64) {
 	if h.slots[ticket] != nil {
 		delete(h.slots, ticket)
 		h.pools[pool] = now
@@ -57,13 +57,13 @@
 }
 
 // Pools lists the pools whose owners want a list, sorted.
-func (h *Held) Pools(now time.Time) []string {
+func (h *Set) Pools(now time.Time) []string {
 	for _, s := range h.slots {
 		h.pools[s.GetTicket().GetPool()] = now
 	}
 	var list []string
 	for p, used := range h.pools {
-		if now.Sub(used) > Linger {
+		if now.Sub(used) > PoolRetention {
 			delete(h.pools, p)
 			continue
 		}
@@ -74,10 +74,10 @@
 }
 
 // List returns the slots of some pools that are at least so old, by ticket.
-func (h *Held) List(now time.Time, pools []string, age time.Duration) []*wire.HeldSlot {
+func (h *Set) List(now time.Time, pools []string, age time.Duration) []*wire.HeldSlot {
 	var list []*wire.HeldSlot
 	for _, s := range h.slots {
-		if now.Sub(s.since) >= age && slices.Contains(pools, s.GetTicket().GetPool()) {
+		if now.Sub(s.addedAt) >= age && slices.Contains(pools, s.GetTicket().GetPool()) {
 			list = append(list, s.HeldSlot)
 		}
 	}
@@ -87,7 +87,7 @@
 
 // Tickets returns the tickets of the slots that List returns: all that an owner
 // needs which has had the list before.
-func (h *Held) Tickets(now time.Time, pools []string, age time.Duration) []uint64 {
+func (h *Set) Tickets(now time.Time, pools []string, age time.Duration) []uint64 {
 	var list []uint64
 	for _, s := range h.List(now, pools, age) {
 		list = append(list, s.GetTicket().GetId())
@@ -96,4 +96,4 @@
 }
 
 // Len is the number of slots held.
-func (h *Held) Len() int { return len(h.slots) }
+func (h *Set) Len() int { return len(h.slots) }
--- a/core/held/held_test.go
+++ b/core/grants/held_test.go
@@ -1,4 +1,4 @@
-package held_test
+package grants_test
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	"github.com/shoenig/test/must"
 	"google.golang.org/protobuf/proto"
 
-	"azurelane/core/held"
+	"azurelane/core/grants"
 	"azurelane/core/wire"
 )
 
-func fill(h *held.Held, now time.Time, n int) {
+func fill(h *grants.Set, now time.Time, n int) {
 	for i := range n {
-		h.Put(now, &wire.Ticket{
+		h.Add(now, &wire.Ticket{
 			Id: uint64(i + 1000), Incarnation: "1a2b3c4d", Account: "airline-dispatch", Pool: "alerts", Model: "storm-2",
 			PromptTokens: 900, AnswerTokens: 256, PrefixHash: 1 << 60,
 		}, &wire.Grant{Slot: uint64(i + 5000), Owner: "5e6f7a8b", Upstream: "engine-17", Address: "10.0.0.1:8000"})
@@ -24,28 +24,28 @@
 // An owner is told of a pool for a while after the last slot was given back,
 // and of young slots only when it is new.
 func TestList(t *testing.T) {
-	var h held.Held
+	var h grants.Set
 	now := time.Unix(1e6, 0)
 	fill(&h, now, 3)
 	pools := []string{"alerts"}
-	must.Len(t, 0, h.List(now, pools, held.Settled))
+	must.Len(t, 0, h.List(now, pools, grants.MinListAge))
 	must.Len(t, 3, h.List(now, pools, 0))
-	now = now.Add(held.Settled)
-	must.Len(t, 3, h.List(now, pools, held.Settled))
+	now = now.Add(grants.MinListAge)
+	must.Len(t, 3, h.List(now, pools, grants.MinListAge))
 	must.Len(t, 0, h.List(now, []string{"quotes"}, 0))
 	for id := range uint64(3) {
-		h.Drop(now, "alerts", 1000+id)
+		h.Remove(now, "alerts", 1000+id)
 	}
 	must.Len(t, 0, h.List(now, pools, 0))
-	must.Eq(t, pools, h.Pools(now.Add(held.Linger)))
-	must.SliceEmpty(t, h.Pools(now.Add(held.Linger+1)))
+	must.Eq(t, pools, h.Pools(now.Add(grants.PoolRetention)))
+	must.SliceEmpty(t, h.Pools(now.Add(grants.PoolRetention+1)))
 }
 
 // BenchmarkList is the list of so many slots and what it costs on the wire.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{10, 50, 150, 500} {
 		b.Run(fmt.Sprintf("slots=%d", n), func(b *testing.B) {
-			var h held.Held
+			var h grants.Set
 			now := time.Unix(1e6, 0)
 			fill(&h, now, n)
 			size := 0
--- a/io/grant/abroad.go
+++ b/io/grant/abroad.go
@@ -7,14 +7,14 @@
 
 	"github.com/pkg/errors"
 
-	"azurelane/core/held"
+	"azurelane/core/grants"
 	"azurelane/core/refuse"
 	"azurelane/core/wire"
 )
 
 // far is what this entry holds in another data centre, by way of one entry there.
 type far struct {
-	held.Held
+	grants.Set
 	to netip.AddrPort
 }
 
@@ -78,7 +78,7 @@
 		f = &far{to: to}
 		g.fars[to] = f
 	}
-	f.Put(time.Now(), t, r)
+	f.Add(time.Now(), t, r)
 	g.where[t.GetId()] = f
 }
 
@@ -89,7 +89,7 @@
 	f := g.where[r.GetTicket()]
 	if f != nil {
 		delete(g.where, r.GetTicket())
-		f.Drop(time.Now(), r.GetPool(), r.GetTicket())
+		f.Remove(time.Now(), r.GetPool(), r.GetTicket())
 	}
 	g.mu.Unlock()
 	if f == nil {
--- a/io/grant/grant.go
+++ b/io/grant/grant.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 	"google.golang.org/protobuf/proto"
 
-	"azurelane/core/held"
+	"azurelane/core/grants"
 	"azurelane/core/refuse"
 	"azurelane/core/wire"
 )
@@ -57,7 +57,7 @@
 
 		mu    sync.Mutex
 		waits map[*wait]struct{}
-		held  held.Held
+		held  grants.Set
 		told  map[string]string // Owner's incarnation that had the list of a pool last.
 		lists int               // Periodic lists so far.
 		fars  map[netip.AddrPort]*far
@@ -240,7 +240,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.held.Drop(time.Now(), r.GetPool(), r.GetTicket())
+	g.held.Remove(time.Now(), r.GetPool(), r.GetTicket())
 	g.mu.Unlock()
 	m := g.Members.Owner(r.GetPool())
 	if m == nil {
@@ -272,7 +272,7 @@
 	if d.GetGrant() != nil {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.held.Put(time.Now(), t, d.GetGrant())
+		g.held.Add(time.Now(), t, d.GetGrant())
 	}
 	return d.GetGrant(), nil
 }
--- a/io/grant/held.go
+++ b/io/grant/held.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"azurelane/core/held"
+	"azurelane/core/grants"
 	"azurelane/core/wire"
 )
 
@@ -83,7 +83,7 @@
 		if onlyNew && !l.fresh {
 			continue
 		}
-		age := held.Settled
+		age := grants.MinListAge
 		if l.fresh {
 			age = 0
 		}
