--- a/core/allow/allow.go
+++ b/core/allow/allow.go
@@ -8,13 +8,13 @@
 )
 
 type (
-	// Allow holds one token bucket an account. The zero value allows everything.
-	Allow struct {
-		Over  float64 // Part of rates and bursts that is allowed beyond them.
+	// Limiter holds one token bucket an account. The zero value allows everything.
+	Limiter struct {
+		Overage  float64 // Part of rates and bursts that is allowed beyond them.
 		Slack float64 // Units that every burst is larger by.
-		// Idle says that accounts are taken to have used nothing before, but for what
+		// StartFull says that accounts are taken to have used nothing before, but for what
 		// Used tells; otherwise they have FreshPart of a burst.
-		Idle bool
+		StartFull bool
 
 		buckets map[string]*bucket
 	}
@@ -22,156 +22,156 @@
 	bucket struct {
 		rate  float64 // Units a second.
 		burst float64
-		whole float64 // The burst of all shares together.
-		fresh float64 // What it has where its use is not known.
-		given float64 // What of that it was given.
-		left  float64 // May be below zero: some units are charged after they were used.
-		at    time.Time
+		fullBurst float64 // The burst of all shares together.
+		initial float64 // What it has where its use is not known.
+		toppedUp float64 // What of that it was given.
+		tokens  float64 // May be below zero: some units are charged after they were used.
+		refilledAt    time.Time
 	}
 )
 
-// leastLeft is the part of a burst that a refused account is told to wait for.
-const leastLeft = 0.05
+// retryFill is the part of a burst that a refused account is told to wait for.
+const retryFill = 0.05
 
-// longestWait bounds the time that a refused account is told to wait.
-const longestWait = 5 * time.Second
+// maxRetryAfter bounds the time that a refused account is told to wait.
+const maxRetryAfter = 5 * time.Second
 
-// FreshPart is the part of a burst that is left to an account of which nothing
+// InitialFraction is the part of a burst that is left to an account of which nothing
 // is known yet. A counter that takes over from another does not know what was
 // used there: with a whole burst an account that was at its limit would get
 // twice of it, and with nothing all others would be refused for a moment.
-const FreshPart = 0.1
+const InitialFraction = 0.1
 
 // Parts of rates for schedulers and entries that know of nobody else, behind a cut
 // or without a scheduler. The scheduler on the other side leaves them these.
 const (
-	// EqualPart is the part of an equal share that may pass. The other side goes on
+	// EqualShareFraction is the part of an equal share that may pass. The other side goes on
 	// with whole rates until it has missed who is cut off; an account that asks for
 	// all it may have on both sides would pass its rate by a tenth within seconds.
-	EqualPart = 0.5
-	// UsedPart is the part of what an account used there of late that may pass, if
+	EqualShareFraction = 0.5
+	// UsageFraction is the part of what an account used there of late that may pass, if
 	// that is more. Behind a cut few entries serve all callers of a data centre: by
 	// equal shares, half of what they refused there was refused for the rate of an
 	// account that was far below its own.
-	UsedPart = 0.95
-	// LeftPart is what the scheduler on the other side leaves them, in times of what was
+	UsageFraction = 0.95
+	// ReserveFactor is what the scheduler on the other side leaves them, in times of what was
 	// used there. It is more than they take by as much as both sides let pass in the
 	// moments before they know of each other, and costs those accounts alone that ask for
 	// their whole rate on the scheduler's side.
-	LeftPart = 1.1
-	// SlackPart is the part of the slack of rates that all of them together may use;
+	ReserveFactor = 1.1
+	// SlackFraction is the part of the slack of rates that all of them together may use;
 	// a quarter is the scheduler's, and a quarter is left for what both sides let pass
 	// before they know of a cut.
-	SlackPart = 0.5
+	SlackFraction = 0.5
 )
 
-// Alone is the part of a rate that may pass at one that knows of nobody else: share
+// StandaloneShare is the part of a rate that may pass at one that knows of nobody else: share
 // is its equal share, used the units a second that the account used there of late.
-func Alone(share, used, rate float64) float64 {
-	equal := EqualPart * share
+func StandaloneShare(share, used, rate float64) float64 {
+	equal := EqualShareFraction * share
 	if rate <= 0 {
 		return equal
 	}
-	return max(equal, min(UsedPart*used/rate, UsedPart))
+	return max(equal, min(UsageFraction*used/rate, UsageFraction))
 }
 
 // Set puts the rates of the accounts in force, each times share. What accounts
 // have used stays counted, so that a change gives nobody a second burst.
-func (a *Allow) Set(now time.Time, accounts map[string]acct.Account, share float64) {
-	a.SetEach(now, accounts, func(string) float64 { return share })
+func (a *Limiter) Set(now time.Time, accounts map[string]acct.Account, share float64) {
+	a.SetShares(now, accounts, func(string) float64 { return share })
 }
 
-// SetEach is Set with a share for each account. A larger share gives nothing at
+// SetShares is Set with a share for each account. A larger share gives nothing at
 // once: shares that go up and down would give it again and again.
-func (a *Allow) SetEach(now time.Time, accounts map[string]acct.Account, share func(account string) float64) {
+func (a *Limiter) SetShares(now time.Time, accounts map[string]acct.Account, share func(account string) float64) {
 	old := a.buckets
 	a.buckets = make(map[string]*bucket, len(accounts))
 	for name, c := range accounts {
 		if c.Rate <= 0 {
 			continue
 		}
-		part, whole := share(name), c.Burst*(1+a.Over)+a.Slack
-		b := &bucket{rate: c.Rate * (1 + a.Over) * part, burst: whole * part, whole: whole, at: now}
-		b.left = b.burst * FreshPart
-		if a.Idle {
-			b.left = b.burst
+		part, whole := share(name), c.Burst*(1+a.Overage)+a.Slack
+		b := &bucket{rate: c.Rate * (1 + a.Overage) * part, burst: whole * part, fullBurst: whole, refilledAt: now}
+		b.tokens = b.burst * InitialFraction
+		if a.StartFull {
+			b.tokens = b.burst
 		}
-		b.fresh = b.burst*FreshPart + a.Slack*part*(1-FreshPart)
+		b.initial = b.burst*InitialFraction + a.Slack*part*(1-InitialFraction)
 		if was := old[name]; was != nil {
-			was.fill(now)
-			b.left, b.given = min(b.burst, was.left+max(whole-was.whole, 0)*part), was.given
+			was.refill(now)
+			b.tokens, b.toppedUp = min(b.burst, was.tokens+max(whole-was.fullBurst, 0)*part), was.toppedUp
 		}
 		a.buckets[name] = b
 	}
 }
 
-// Fresh gives an account what one has of which nothing is known, and the slack
+// TopUp gives an account what one has of which nothing is known, and the slack
 // of its share.
-func (a *Allow) Fresh(now time.Time, account string) {
+func (a *Limiter) TopUp(now time.Time, account string) {
 	if b := a.buckets[account]; b != nil {
-		b.fill(now)
-		b.left = max(b.left, b.fresh)
+		b.refill(now)
+		b.tokens = max(b.tokens, b.initial)
 	}
 }
 
-// Grown gives an account what a part of its rate that has grown since has more of than
+// TopUpGrowth gives an account what a part of its rate that has grown since has more of than
 // it had, of what one has of which nothing is known. Each bit is given once, however
 // often the part changes.
-func (a *Allow) Grown(now time.Time, account string) {
+func (a *Limiter) TopUpGrowth(now time.Time, account string) {
 	b := a.buckets[account]
 	if b == nil {
 		return
 	}
-	b.fill(now)
-	if more := b.fresh - b.given; more > 0 {
-		b.left, b.given = min(b.left+more, b.burst), b.fresh
+	b.refill(now)
+	if more := b.initial - b.toppedUp; more > 0 {
+		b.tokens, b.toppedUp = min(b.tokens+more, b.burst), b.initial
 	}
 }
 
-// Used tells that an account used so many units a second before the counting began,
+// ChargePrior tells that an account used so many units a second before the counting began,
 // beyond what was told already. Who used its whole rate has FreshPart of a burst left.
-func (a *Allow) Used(now time.Time, account string, rate float64) {
+func (a *Limiter) ChargePrior(now time.Time, account string, rate float64) {
 	b := a.buckets[account]
 	if b == nil {
 		return
 	}
-	b.fill(now)
-	least := min(b.left, b.burst*FreshPart)
-	b.left = max(b.left-b.burst*rate/b.rate, least)
+	b.refill(now)
+	least := min(b.tokens, b.burst*InitialFraction)
+	b.tokens = max(b.tokens-b.burst*rate/b.rate, least)
 }
 
 // Take uses units of an account that has any left, even if they are fewer: were
 // a request to wait for all of its units, an account whose share is small would
 // never get its large ones through. An account with none left uses none and is
 // told when it has some.
-func (a *Allow) Take(now time.Time, account string, units int64) (time.Duration, bool) {
+func (a *Limiter) Take(now time.Time, account string, units int64) (time.Duration, bool) {
 	b := a.buckets[account]
 	if b == nil {
 		return 0, true
 	}
-	b.fill(now)
-	if b.left > 0 {
-		b.left -= float64(units)
+	b.refill(now)
+	if b.tokens > 0 {
+		b.tokens -= float64(units)
 		return 0, true
 	}
-	wait := time.Duration((leastLeft*b.burst - b.left) / b.rate * float64(time.Second))
-	return min(wait, longestWait), false
+	wait := time.Duration((retryFill*b.burst - b.tokens) / b.rate * float64(time.Second))
+	return min(wait, maxRetryAfter), false
 }
 
 // Charge counts units that were used already, or gives them back when they are
 // below zero.
-func (a *Allow) Charge(now time.Time, account string, units int64) {
+func (a *Limiter) Charge(now time.Time, account string, units int64) {
 	b := a.buckets[account]
 	if b == nil {
 		return
 	}
-	b.fill(now)
-	b.left = max(min(b.left-float64(units), b.burst), -b.burst)
+	b.refill(now)
+	b.tokens = max(min(b.tokens-float64(units), b.burst), -b.burst)
 }
 
-func (b *bucket) fill(now time.Time) {
-	if d := now.Sub(b.at); d > 0 {
-		b.left = min(b.left+b.rate*d.Seconds(), b.burst)
+func (b *bucket) refill(now time.Time) {
+	if d := now.Sub(b.refilledAt); d > 0 {
+		b.tokens = min(b.tokens+b.rate*d.Seconds(), b.burst)
 	}
-	b.at = now
+	b.refilledAt = now
 }
--- a/core/allow/allow_test.go
+++ b/core/allow/allow_test.go
@@ -19,7 +19,7 @@
 // most its rate times eight, its burst and one request pass; an account without
 // a rate is never refused.
 func TestRate(t *testing.T) {
-	var a Allow
+	var a Limiter
 	a.Set(start, accounts(100, 100), 1)
 	var passed []time.Time
 	for i := range 600 {
@@ -45,7 +45,7 @@
 // One request is larger than the share of the rate that one of many entries
 // has. It must pass sometime, and be paid for by those after it.
 func TestLargeRequestPasses(t *testing.T) {
-	var a Allow
+	var a Limiter
 	a.Set(start, accounts(100, 100), 0.1)
 	_, ok := a.Take(start, "a", 500)
 	must.True(t, ok)
@@ -66,14 +66,14 @@
 	}{
 		{"nothing was used", nil, 100, 110},
 		{"half of the rate", []float64{20, 30}, 50, 60},
-		{"all of it", []float64{60, 40}, FreshPart * 100, FreshPart*100 + 10},
-		{"more than that", []float64{90, 90}, FreshPart * 100, FreshPart*100 + 10},
+		{"all of it", []float64{60, 40}, InitialFraction * 100, InitialFraction*100 + 10},
+		{"more than that", []float64{90, 90}, InitialFraction * 100, InitialFraction*100 + 10},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			a := Allow{Idle: true}
+			a := Limiter{StartFull: true}
 			a.Set(start, accounts(100, 100), 1)
 			for _, u := range tc.used {
-				a.Used(start, "a", u)
+				a.ChargePrior(start, "a", u)
 			}
 			units := 0
 			for ok := true; ok; {
@@ -89,7 +89,7 @@
 // Another scheduler takes over from one whose counts are lost. An account at its
 // limit must not get a whole burst again.
 func TestTakeoverGivesNoSecondBurst(t *testing.T) {
-	var a Allow
+	var a Limiter
 	a.Set(start, accounts(100, 1000), 1)
 	units := 0
 	for range 100 {
@@ -97,13 +97,13 @@
 			units += 100
 		}
 	}
-	must.LessEq(t, FreshPart*1000+100, float64(units))
+	must.LessEq(t, InitialFraction*1000+100, float64(units))
 }
 
 // A changed rate keeps what was used: no change of the configuration gives a
 // burst away, and a lower rate is in force at once.
 func TestChangeKeepsWhatWasUsed(t *testing.T) {
-	var a Allow
+	var a Limiter
 	a.Set(start, accounts(100, 100), 1)
 	a.Charge(start, "a", 1000)
 	a.Set(start, accounts(50, 50), 1)
@@ -118,13 +118,13 @@
 // the part of the rate grows. An account that takes all it gets meanwhile has been
 // given what the whole part has at its start, and not as much again with each of them.
 func TestGrownPartsAreGivenOnce(t *testing.T) {
-	var a Allow
+	var a Limiter
 	now, part, taken := time.Unix(1000, 0), 0.0, int64(0)
 	accounts := map[string]acct.Account{"a": {Rate: 1, Burst: 10000}}
 	for range 40 {
 		part += 0.01
-		a.SetEach(now, accounts, func(string) float64 { return part })
-		a.Grown(now, "a")
+		a.SetShares(now, accounts, func(string) float64 { return part })
+		a.TopUpGrowth(now, "a")
 		for {
 			if _, ok := a.Take(now, "a", 1); !ok {
 				break
--- a/io/gate/place_test.go
+++ b/io/gate/place_test.go
@@ -116,9 +116,9 @@
 	const rate, entries, isolated, span = 1000.0, 6, 2, 3 * time.Second
 	passed := 0.0
 	for range isolated {
-		var own allow.Allow
+		var own allow.Limiter
 		now := time.Unix(1000, 0)
-		own.Set(now, map[string]acct.Account{"radio": {Rate: rate, Burst: rate}}, allow.EqualPart/entries)
+		own.Set(now, map[string]acct.Account{"radio": {Rate: rate, Burst: rate}}, allow.EqualShareFraction/entries)
 		own.Charge(now, "radio", -int64(rate)) // Full: the account used little before.
 		for end := now.Add(span); now.Before(end); now = now.Add(time.Millisecond) {
 			if _, ok := own.Take(now, "radio", 1); ok {
--- a/io/gate/quota.go
+++ b/io/gate/quota.go
@@ -13,7 +13,7 @@
 // localQuota enforces the rates of client accounts while no scheduler is known. Each entry then
 // allows a share of every rate. The zero value is ready to use.
 type localQuota struct {
-	buckets    allow.Allow  // Hold this entry's share of each rate.
+	buckets    allow.Limiter  // Hold this entry's share of each rate.
 	used       usage.Usage  // Recent usage at this entry.
 	index      *index.Index // Configuration that the shares were computed from.
 	entries    int          // Number of entries that the shares were computed for.
@@ -37,7 +37,7 @@
 		return 0, true
 	}
 	a := &g.localQuota
-	a.buckets.Slack = allow.SlackPart * g.QuotaSlack
+	a.buckets.Slack = allow.SlackFraction * g.QuotaSlack
 	a.updateShares(now, q)
 	if a.standalone {
 		wait, ok := a.buckets.Take(now, q.account, q.units())
@@ -68,7 +68,7 @@
 	lost := standalone && !a.standalone
 	a.index, a.entries, a.standalone = q.view.Index, entries, standalone
 	accounts := a.index.Config().Accounts
-	a.buckets.SetEach(now, accounts, func(name string) float64 { return a.shareOf(now, name, accounts[name]) })
+	a.buckets.SetShares(now, accounts, func(name string) float64 { return a.shareOf(now, name, accounts[name]) })
 	if !lost || now.Sub(a.toppedUpAt) < topUpInterval {
 		return
 	}
@@ -76,7 +76,7 @@
 	for name, c := range accounts {
 		// An account whose usage at this entry alone reaches its whole rate has had its share.
 		if a.used.Rate(now, name) < c.Rate {
-			a.buckets.Fresh(now, name)
+			a.buckets.TopUp(now, name)
 		}
 	}
 }
@@ -85,9 +85,9 @@
 func (a *localQuota) shareOf(now time.Time, name string, c acct.Account) float64 {
 	share := 1 / float64(a.entries)
 	if !a.standalone {
-		return allow.EqualPart * share
+		return allow.EqualShareFraction * share
 	}
-	return allow.Alone(share, a.used.Rate(now, name), c.Rate)
+	return allow.StandaloneShare(share, a.used.Rate(now, name), c.Rate)
 }
 
 // UsageRates returns the recent usage of accounts at this entry, in units per second, for a
--- a/io/hub/hub.go
+++ b/io/hub/hub.go
@@ -202,9 +202,9 @@
 // when they learn of the new scheduler.
 func (h *Hub) startScheduler(ctx context.Context, sc scope) *scheduler {
 	s := &scheduler{id: uuid.NewString()[:8], startedAt: time.Now(), scope: sc, stats: h.Stats, log: h.Log, refusalLog: &h.RefusalLog}
-	s.allow = allow.Allow{Over: schedulerOverageShare * h.Overage, Slack: schedulerOverageShare * h.QuotaSlack, Idle: true}
+	s.allow = allow.Limiter{Overage: schedulerOverageShare * h.Overage, Slack: schedulerOverageShare * h.QuotaSlack, StartFull: true}
 	if sc == scopeDataCentre {
-		s.allow.Slack, s.allow.Idle = allow.SlackPart*h.QuotaSlack, false
+		s.allow.Slack, s.allow.StartFull = allow.SlackFraction*h.QuotaSlack, false
 	}
 	s.sched = &sched.Sched{Incarnation: s.id, Log: h.Log.WithName("sched")}
 	go func() { _ = s.sched.Serve(ctx) }()
--- a/io/hub/rates.go
+++ b/io/hub/rates.go
@@ -114,13 +114,13 @@
 	if used == 0 || rate <= 0 {
 		return 1
 	}
-	return max(1-allow.LeftPart*used/rate, minLeaderShare)
+	return max(1-allow.ReserveFactor*used/rate, minLeaderShare)
 }
 
 // cutOffShare returns the share of an account's rate that a scheduler of one data centre admits.
 // Share is its fraction of all entries.
 func (r *rates) cutOffShare(name string, share float64) float64 {
-	return allow.Alone(share, r.priorTotals[name], r.accounts[name].Rate)
+	return allow.StandaloneShare(share, r.priorTotals[name], r.accounts[name].Rate)
 }
 
 // silentRate returns how many units per second an account used at silent entries.
--- a/io/hub/scheduler.go
+++ b/io/hub/scheduler.go
@@ -31,7 +31,7 @@
 	speedsLoggedAt time.Time    // Used by sweep alone.
 
 	mu        sync.Mutex
-	allow     allow.Allow
+	allow     allow.Limiter
 	rates     rates
 	version   uint64
 	startedAt time.Time
@@ -54,7 +54,7 @@
 // updateShares recomputes the shares of the accounts' rates that this scheduler may admit. The
 // lock is held.
 func (s *scheduler) updateShares(now time.Time) {
-	s.allow.SetEach(now, s.rates.accounts, s.accountShare)
+	s.allow.SetShares(now, s.rates.accounts, s.accountShare)
 }
 
 // accountShare returns the share of an account's rate that this scheduler may admit. The lock is
@@ -87,7 +87,7 @@
 		// get a full burst again.
 		for account, units := range estimates {
 			if more := s.rates.estimatePrior(s.entriesTotal, account) - units; more > 0 {
-				s.allow.Used(now, account, more)
+				s.allow.ChargePrior(now, account, more)
 			}
 		}
 		return
@@ -98,7 +98,7 @@
 	s.entriesHere = here
 	s.updateShares(now)
 	for account := range s.rates.accounts {
-		s.allow.Grown(now, account) // Adds the units that a larger share starts with.
+		s.allow.TopUpGrowth(now, account) // Adds the units that a larger share starts with.
 	}
 }
 
--- a/io/hub/scope_test.go
+++ b/io/hub/scope_test.go
@@ -127,8 +127,8 @@
 		cutOffReplica(t, h, f)
 		_, err := askNews(h, &wire.Watch{Node: "e0", Incarnation: "e0", DataCentre: "z1", Entries: 10, Alone: true})
 		must.NoError(t, err)
-		const equal, request = 1000 / 10 * allow.EqualPart, 10
-		must.Between(t, equal, admittedRateHere(h), equal+(allow.FreshPart*1000+request)/rateWindow.Seconds())
+		const equal, request = 1000 / 10 * allow.EqualShareFraction, 10
+		must.Between(t, equal, admittedRateHere(h), equal+(allow.InitialFraction*1000+request)/rateWindow.Seconds())
 	})
 }
 
