--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -24,13 +24,13 @@
 	}
 )
 
-// Take counts a request in. When its account is at its most requests, the newest
+// Admit counts a request in. When its account is at its most requests, the newest
 // waiting one of the least urgent lower tier goes for it: the result names it,
 // and the caller must refuse it. Otherwise what runs in lower tiers doesn't
 // stand in the way: a request is refused only when as many requests as urgent as
 // itself are open and no lower one waits. Without this an account's bulk work
 // would fill its limit, and its alert be refused while the bulk work is kept.
-func (q *Quota) Take(name string, id uint64, level, most int) (shed []uint64, ok bool) {
+func (q *Quota) Admit(name string, id uint64, level, most int) (shed []uint64, ok bool) {
 	a := q.accounts[name]
 	if a == nil {
 		a = &account{open: map[uint64]*request{}}
@@ -39,9 +39,9 @@
 		}
 		q.accounts[name] = a
 	}
-	shed = a.shedWhile(level, func() bool { return a.requestsTo(tier.Levels-1) >= most })
-	if a.requestsTo(level) >= most {
-		q.tidy(name)
+	shed = a.shedWhile(level, func() bool { return a.requestsUpTo(tier.Levels-1) >= most })
+	if a.requestsUpTo(level) >= most {
+		q.removeIfEmpty(name)
 		return shed, false
 	}
 	a.open[id] = &request{level: level}
@@ -49,15 +49,15 @@
 	return shed, true
 }
 
-// Grow counts n more bytes of a request's body, by the same rule.
-func (q *Quota) Grow(name string, id uint64, n, most int64) (shed []uint64, ok bool) {
+// AddBytes counts n more bytes of a request's body, by the same rule.
+func (q *Quota) AddBytes(name string, id uint64, n, most int64) (shed []uint64, ok bool) {
 	a := q.accounts[name]
 	if a == nil || a.open[id] == nil {
 		return nil, false
 	}
 	r := a.open[id]
-	shed = a.shedWhile(r.level, func() bool { return a.bytesTo(tier.Levels-1)+n > most })
-	if a.bytesTo(r.level)+n > most {
+	shed = a.shedWhile(r.level, func() bool { return a.bytesUpTo(tier.Levels-1)+n > most })
+	if a.bytesUpTo(r.level)+n > most {
 		return shed, false
 	}
 	r.bytes += n
@@ -65,14 +65,14 @@
 	return shed, true
 }
 
-// Wait notes that a request waits for a slot: from now on it may be shed.
-func (q *Quota) Wait(name string, id uint64) { q.set(name, id, true) }
+// MarkWaiting notes that a request waits for a slot: from now on it may be shed.
+func (q *Quota) MarkWaiting(name string, id uint64) { q.setWaiting(name, id, true) }
 
-// Keep notes that a request is about to run. It reports false when the request
+// MarkRunning notes that a request is about to run. It reports false when the request
 // has been shed; it must not run then.
-func (q *Quota) Keep(name string, id uint64) bool { return q.set(name, id, false) }
+func (q *Quota) MarkRunning(name string, id uint64) bool { return q.setWaiting(name, id, false) }
 
-func (q *Quota) set(name string, id uint64, waiting bool) bool {
+func (q *Quota) setWaiting(name string, id uint64, waiting bool) bool {
 	a := q.accounts[name]
 	if a == nil || a.open[id] == nil {
 		return false
@@ -81,15 +81,15 @@
 	return true
 }
 
-// Give takes back what a request counted. One that was shed counts no more.
-func (q *Quota) Give(name string, id uint64) {
+// Release takes back what a request counted. One that was shed counts no more.
+func (q *Quota) Release(name string, id uint64) {
 	if a := q.accounts[name]; a != nil {
-		a.drop(id)
-		q.tidy(name)
+		a.remove(id)
+		q.removeIfEmpty(name)
 	}
 }
 
-func (q *Quota) tidy(name string) {
+func (q *Quota) removeIfEmpty(name string) {
 	if len(q.accounts[name].open) == 0 {
 		delete(q.accounts, name)
 	}
@@ -99,7 +99,7 @@
 // limit and one of them waits.
 func (a *account) shedWhile(level int, over func() bool) (ids []uint64) {
 	for over() {
-		id, found := a.shed(level)
+		id, found := a.shedOne(level)
 		if !found {
 			break
 		}
@@ -108,9 +108,9 @@
 	return ids
 }
 
-// shed drops the newest waiting request of the least urgent level below the
+// shedOne drops the newest waiting request of the least urgent level below the
 // given one. Only an account at its limit pays for the search.
-func (a *account) shed(level int) (uint64, bool) {
+func (a *account) shedOne(level int) (uint64, bool) {
 	var victim uint64
 	var found bool
 	for id, r := range a.open {
@@ -122,12 +122,12 @@
 		}
 	}
 	if found {
-		a.drop(victim)
+		a.remove(victim)
 	}
 	return victim, found
 }
 
-func (a *account) drop(id uint64) {
+func (a *account) remove(id uint64) {
 	if r := a.open[id]; r != nil {
 		a.requests[r.level]--
 		a.bytes[r.level] -= r.bytes
@@ -135,14 +135,14 @@
 	}
 }
 
-func (a *account) requestsTo(level int) (n int) {
+func (a *account) requestsUpTo(level int) (n int) {
 	for _, v := range a.requests[:level+1] {
 		n += v
 	}
 	return n
 }
 
-func (a *account) bytesTo(level int) (n int64) {
+func (a *account) bytesUpTo(level int) (n int64) {
 	for _, v := range a.bytes[:level+1] {
 		n += v
 	}
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -25,25 +25,25 @@
 func TestAlertsBeforeBulk(t *testing.T) {
 	var q quota.Quota
 	for id := uint64(1); id <= 4; id++ {
-		_, ok := q.Take("a", id, 2, 4)
+		_, ok := q.Admit("a", id, 2, 4)
 		must.True(t, ok)
 	}
-	q.Wait("a", 3)
-	q.Wait("a", 4)
-	_, ok := q.Take("a", 5, 2, 4)
+	q.MarkWaiting("a", 3)
+	q.MarkWaiting("a", 4)
+	_, ok := q.Admit("a", 5, 2, 4)
 	must.False(t, ok)
 	for _, tc := range []struct {
 		id   uint64
 		shed []uint64
 		ok   bool
 	}{{6, []uint64{4}, true}, {7, []uint64{3}, true}, {8, nil, true}, {9, nil, true}, {10, nil, false}} {
-		shed, ok := q.Take("a", tc.id, 0, 4)
+		shed, ok := q.Admit("a", tc.id, 0, 4)
 		must.Eq(t, tc.shed, shed, must.Sprint(tc.id))
 		must.Eq(t, tc.ok, ok, must.Sprint(tc.id))
 	}
-	must.False(t, q.Keep("a", 4))
-	must.True(t, q.Keep("a", 2))
-	_, ok = q.Take("b", 11, 2, 1)
+	must.False(t, q.MarkRunning("a", 4))
+	must.True(t, q.MarkRunning("a", 2))
+	_, ok = q.Admit("b", 11, 2, 1)
 	must.True(t, ok)
 }
 
@@ -88,7 +88,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "do") {
 			case 0, 1:
 				level := rapid.IntRange(0, tier.Levels-1).Draw(t, "level")
-				shed, ok := q.Take("a", id, level, most)
+				shed, ok := q.Admit("a", id, level, most)
 				drop(shed, level)
 				n, _, lower := atMost(level)
 				must.Eq(t, n < most, ok)
@@ -100,7 +100,7 @@
 			case 2:
 				o := have[old]
 				add := int64(rapid.IntRange(0, 60).Draw(t, "bytes"))
-				shed, ok := q.Grow("a", old, add, mostBytes)
+				shed, ok := q.AddBytes("a", old, add, mostBytes)
 				if o == nil {
 					must.False(t, ok)
 					continue
@@ -116,23 +116,23 @@
 			case 3:
 				wait := rapid.Bool().Draw(t, "wait")
 				if wait {
-					q.Wait("a", old)
+					q.MarkWaiting("a", old)
 				} else {
-					must.Eq(t, have[old] != nil, q.Keep("a", old))
+					must.Eq(t, have[old] != nil, q.MarkRunning("a", old))
 				}
 				if have[old] != nil {
 					have[old].waiting = wait
 				}
 			case 4:
-				q.Give("a", old)
+				q.Release("a", old)
 				delete(have, old)
 			}
 		}
 		for id := range have {
-			q.Give("a", id)
+			q.Release("a", id)
 		}
 		for id := uint64(1000); id < 1000+most; id++ {
-			shed, ok := q.Take("a", id, tier.Levels-1, most)
+			shed, ok := q.Admit("a", id, tier.Levels-1, most)
 			must.True(t, ok)
 			must.SliceEmpty(t, shed)
 		}
--- a/io/front/usage.go
+++ b/io/front/usage.go
@@ -12,7 +12,7 @@
 func (f *Front) take(q *request) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	shed, ok := f.open.Take(q.account, q.id, int(q.ticket.GetTier()), q.limits.MaxConnections)
+	shed, ok := f.open.Admit(q.account, q.id, int(q.ticket.GetTier()), q.limits.MaxConnections)
 	f.shed(shed)
 	if !ok {
 		return refuse.New(refuse.AccountLimit, "too many open requests", time.Second)
@@ -25,7 +25,7 @@
 func (f *Front) takeBytes(q *request, n int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	shed, ok := f.open.Grow(q.account, q.id, n, q.limits.MaxBodies)
+	shed, ok := f.open.AddBytes(q.account, q.id, n, q.limits.MaxBodies)
 	f.shed(shed)
 	if !ok {
 		return refuse.New(refuse.AccountLimit, "too many bytes in open requests", time.Second)
@@ -37,7 +37,7 @@
 func (f *Front) give(q *request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.open.Give(q.account, q.id)
+	f.open.Release(q.account, q.id)
 	delete(f.waiting, q.id)
 }
 
@@ -50,7 +50,7 @@
 		f.waiting = map[uint64]context.CancelCauseFunc{}
 	}
 	f.waiting[q.id] = cancel
-	f.open.Wait(q.account, q.id)
+	f.open.MarkWaiting(q.account, q.id)
 }
 
 // keeps notes that a request waits no more. It reports false when the request
@@ -59,7 +59,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.waiting, q.id)
-	return f.open.Keep(q.account, q.id)
+	return f.open.MarkRunning(q.account, q.id)
 }
 
 func (f *Front) shed(ids []uint64) {
