--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -19,8 +19,8 @@
 	DefaultBurst = 20
 )
 
-// Add counts a first attempt.
-func (b *Budget) Add() {
+// AddFirstAttempt counts a first attempt.
+func (b *Budget) AddFirstAttempt() {
 	ratio := b.Ratio
 	if ratio == 0 {
 		ratio = DefaultRatio
@@ -28,8 +28,8 @@
 	b.spent = max(b.spent-ratio, 0)
 }
 
-// Take reports whether one more attempt may be made, and counts it.
-func (b *Budget) Take() bool {
+// TakeRetry reports whether one more attempt may be made, and counts it.
+func (b *Budget) TakeRetry() bool {
 	burst := b.Burst
 	if burst == 0 {
 		burst = DefaultBurst
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -15,9 +15,9 @@
 	var b budget.Budget
 	retries := 0
 	for range 1000 {
-		b.Add()
+		b.AddFirstAttempt()
 		for range 2 {
-			if b.Take() {
+			if b.TakeRetry() {
 				retries++
 			}
 		}
--- a/io/front/request.go
+++ b/io/front/request.go
@@ -187,11 +187,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n == 0 {
-		f.budget.Add()
+		f.budget.AddFirstAttempt()
 		return true
 	}
 	f.Stats.Count("placed-again", 1)
-	return f.budget.Take()
+	return f.budget.TakeRetry()
 }
 
 // wait gets a grant.
--- a/io/gate/place.go
+++ b/io/gate/place.go
@@ -242,7 +242,7 @@
 		g.budgets[q.pool] = b
 	}
 	b.Burst = max(budgetFraction*g.RetrySlack/float64(max(q.view.Entries, 1)), minRetryBurst)
-	b.Add()
+	b.AddFirstAttempt()
 }
 
 // takeRetry takes a retry from a pool's budget and reports whether the budget allowed it.
@@ -250,7 +250,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	b := g.budgets[pool]
-	return b != nil && b.Take()
+	return b != nil && b.TakeRetry()
 }
 
 // TakeUsage returns the usage since the last call that no scheduler has seen, or nil if there was
