--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// span is over what time use is averaged. It has to be long against the time
+// timeConstant is over what time use is averaged. It has to be long against the time
 // between two requests of an account at one entry, and short enough to follow a
 // tide of traffic.
-const span = 5 * time.Second
+const timeConstant = 5 * time.Second
 
-// leastSeen is the least time that use is averaged over: the first request alone
+// minObservation is the least time that use is averaged over: the first request alone
 // says nothing of a rate.
-const leastSeen = time.Second
+const minObservation = time.Second
 
 type (
 	// Usage holds one fading count an account. The zero value is ready.
 	Usage struct {
-		counts map[string]*count
+		counts map[string]*decayingCount
 	}
 
-	count struct {
+	decayingCount struct {
 		units float64
-		first time.Time
-		at    time.Time
+		startedAt time.Time
+		updatedAt    time.Time
 	}
 )
 
 // Add notes units that an account has used.
 func (u *Usage) Add(now time.Time, account string, units int64) {
 	if u.counts == nil {
-		u.counts = map[string]*count{}
+		u.counts = map[string]*decayingCount{}
 	}
 	c := u.counts[account]
 	if c == nil {
-		c = &count{first: now, at: now}
+		c = &decayingCount{startedAt: now, updatedAt: now}
 		u.counts[account] = c
 	}
-	c.fade(now)
+	c.decay(now)
 	c.units += float64(units)
 }
 
@@ -48,10 +48,10 @@
 	if c == nil {
 		return 0
 	}
-	c.fade(now)
+	c.decay(now)
 	// What has faded by now of an even use since the first is missing in units.
-	seen := 1 - math.Exp(-max(now.Sub(c.first), leastSeen).Seconds()/span.Seconds())
-	return c.units / (span.Seconds() * seen)
+	seen := 1 - math.Exp(-max(now.Sub(c.startedAt), minObservation).Seconds()/timeConstant.Seconds())
+	return c.units / (timeConstant.Seconds() * seen)
 }
 
 // Rates lists the units a second of all accounts that were used of late.
@@ -63,9 +63,9 @@
 	return rates
 }
 
-func (c *count) fade(now time.Time) {
-	if d := now.Sub(c.at); d > 0 {
-		c.units *= math.Exp(-d.Seconds() / span.Seconds())
-		c.at = now
+func (c *decayingCount) decay(now time.Time) {
+	if d := now.Sub(c.updatedAt); d > 0 {
+		c.units *= math.Exp(-d.Seconds() / timeConstant.Seconds())
+		c.updatedAt = now
 	}
 }
