--- a/core/acct/acct.go
+++ b/core/acct/acct.go
@@ -8,10 +8,10 @@
 	Weight         float64  `json:"weight,omitzero"`            // Share of work units against other accounts; 0 counts as 1.
 	MaxWaiting     int      `json:"max-waiting,omitzero"`       // Requests that may wait in one pool; 0 takes the default.
 	MaxConnections int      `json:"max-connections,omitzero"`   // Requests that may be open at one entry; 0 takes the default.
-	MaxBody        int64    `json:"max-body,omitzero"`          // Bytes of one request's body; 0 takes the default.
-	MaxBodies      int64    `json:"max-bodies,omitzero"`        // Bytes of all its bodies at one entry; 0 takes the default.
+	MaxBodyBytes        int64    `json:"max-body,omitzero"`          // Bytes of one request's body; 0 takes the default.
+	MaxOpenBodyBytes      int64    `json:"max-bodies,omitzero"`        // Bytes of all its bodies at one entry; 0 takes the default.
 	Tiers          []string `json:"tiers,omitempty"`            // Tiers it may use; empty for all.
-	MoreKeys       []string `json:"more-keys-sha256,omitempty"` // Hashes of further keys. With this list, empty or not, key-sha256 may be left out.
+	MoreKeysSHA256       []string `json:"more-keys-sha256,omitempty"` // Hashes of further keys. With this list, empty or not, key-sha256 may be left out.
 	Priority       *int     `json:"priority,omitempty"`         // Adds to those of routes, which order the account's own requests; nil for none.
 	Rate           float64  `json:"rate,omitzero"`              // Units a second over all entries; 0 for any.
 	Burst          float64  `json:"burst,omitzero"`             // Units that may come at once.
@@ -30,20 +30,20 @@
 	return max(a.PlainUnits, 1)
 }
 
-// Keys lists the hashes of all keys.
-func (a Account) Keys() []string {
+// KeyHashes lists the hashes of all keys.
+func (a Account) KeyHashes() []string {
 	if a.KeySHA256 == "" {
-		return a.MoreKeys
+		return a.MoreKeysSHA256
 	}
-	return append([]string{a.KeySHA256}, a.MoreKeys...)
+	return append([]string{a.KeySHA256}, a.MoreKeysSHA256...)
 }
 
 // Defaults for the limits that an account leaves at zero.
 const (
 	DefaultMaxWaiting     = 1000
 	DefaultMaxConnections = 512
-	DefaultMaxBody        = 4 << 20
-	DefaultMaxBodies      = 64 << 20
+	DefaultMaxBodyBytes        = 4 << 20
+	DefaultMaxOpenBodyBytes      = 64 << 20
 )
 
 // WithDefaults returns the account with every limit set.
@@ -57,11 +57,11 @@
 	if a.MaxConnections == 0 {
 		a.MaxConnections = DefaultMaxConnections
 	}
-	if a.MaxBody == 0 {
-		a.MaxBody = DefaultMaxBody
+	if a.MaxBodyBytes == 0 {
+		a.MaxBodyBytes = DefaultMaxBodyBytes
 	}
-	if a.MaxBodies == 0 {
-		a.MaxBodies = DefaultMaxBodies
+	if a.MaxOpenBodyBytes == 0 {
+		a.MaxOpenBodyBytes = DefaultMaxOpenBodyBytes
 	}
 	return a
 }
--- a/core/conf/check.go
+++ b/core/conf/check.go
@@ -106,7 +106,7 @@
 		if a.Rate < 0 || a.Burst < 0 || a.PlainUnits < 0 {
 			return invalid(at, "a rate of 0 or more")
 		}
-		if a.Weight < 0 || a.MaxWaiting < 0 || a.MaxConnections < 0 || a.MaxBody < 0 || a.MaxBodies < 0 {
+		if a.Weight < 0 || a.MaxWaiting < 0 || a.MaxConnections < 0 || a.MaxBodyBytes < 0 || a.MaxOpenBodyBytes < 0 {
 			return invalid(at, "a weight and limits of 0 or more")
 		}
 		for _, t := range a.Tiers {
@@ -122,10 +122,10 @@
 // be told apart: either would pay for the other's load and see its answers.
 func checkKeys(name string, a acct.Account, owners map[string]string) error {
 	at := "/client-accounts/" + name + "/key-sha256"
-	if a.KeySHA256 == "" && a.MoreKeys == nil {
+	if a.KeySHA256 == "" && a.MoreKeysSHA256 == nil {
 		return invalid(at, hashWant)
 	}
-	for _, k := range a.Keys() {
+	for _, k := range a.KeyHashes() {
 		if !isHash(k) {
 			return invalid(at, hashWant)
 		}
--- a/core/index/index.go
+++ b/core/index/index.go
@@ -40,7 +40,7 @@
 		routes: route.NewTable(cfg.Routes),
 	}
 	for name, a := range cfg.Accounts {
-		for _, k := range a.Keys() {
+		for _, k := range a.KeyHashes() {
 			if raw, err := hex.DecodeString(k); err == nil && len(raw) == len(Digest{}) {
 				x.accounts[Digest(raw)] = account{name, a.WithDefaults()}
 			}
--- a/io/front/read.go
+++ b/io/front/read.go
@@ -101,13 +101,13 @@
 }
 
 func (q *request) readBody() error {
-	if q.r.ContentLength > q.limits.MaxBody {
+	if q.r.ContentLength > q.limits.MaxBodyBytes {
 		return q.tooLarge()
 	}
 	limit := orDefault(q.front.BodyTime, defaultBodyTime)
 	ctl := http.NewResponseController(q.reply.w)
 	_ = ctl.SetReadDeadline(q.start.Add(limit))
-	err := q.fill(http.MaxBytesReader(q.reply.w, q.r.Body, q.limits.MaxBody))
+	err := q.fill(http.MaxBytesReader(q.reply.w, q.r.Body, q.limits.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	var refusal *refuse.Error
 	switch {
@@ -125,7 +125,7 @@
 }
 
 func (q *request) tooLarge() error {
-	return refuse.New(refuse.TooLarge, fmt.Sprintf("at most %d bytes", q.limits.MaxBody), 0)
+	return refuse.New(refuse.TooLarge, fmt.Sprintf("at most %d bytes", q.limits.MaxBodyBytes), 0)
 }
 
 // fill reads the body. Its room is counted against the account before it is
--- a/io/front/refuse_test.go
+++ b/io/front/refuse_test.go
@@ -26,7 +26,7 @@
 func TestRefusedAtOnce(t *testing.T) {
 	s := newSite(t, 1)
 	s.cfg.Tiers = map[string]tier.Tier{"urgent": {}, "bulk": {Level: 2}}
-	s.account(func(a *acct.Account) { a.Tiers, a.MaxBody = []string{"bulk"}, 200 })
+	s.account(func(a *acct.Account) { a.Tiers, a.MaxBodyBytes = []string{"bulk"}, 200 })
 	large := `{"model":"m","pad":"` + strings.Repeat("x", 300) + `"}`
 	for _, tc := range []struct {
 		name   string
@@ -72,7 +72,7 @@
 // served as ever, and when the half-open callers are gone, the first one too.
 func TestHalfOpenCallersHoldOnlyTheirOwn(t *testing.T) {
 	s := newSite(t, 1)
-	s.account(func(a *acct.Account) { a.MaxBodies = 1000 })
+	s.account(func(a *acct.Account) { a.MaxOpenBodyBytes = 1000 })
 	e := s.entries[0]
 	var conns []net.Conn
 	for range 2 {
--- a/io/front/usage.go
+++ b/io/front/usage.go
@@ -25,7 +25,7 @@
 func (f *Front) takeBytes(q *request, n int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	shed, ok := f.open.AddBytes(q.account, q.id, n, q.limits.MaxBodies)
+	shed, ok := f.open.AddBytes(q.account, q.id, n, q.limits.MaxOpenBodyBytes)
 	f.shed(shed)
 	if !ok {
 		return refuse.New(refuse.AccountLimit, "too many bytes in open requests", time.Second)
--- a/io/rig/bench/config.go
+++ b/io/rig/bench/config.go
@@ -30,7 +30,7 @@
 	}
 	for _, a := range d.Accounts {
 		sum := sha256.Sum256([]byte(a.Name + "-key"))
-		cfg.Accounts[a.Name] = acct.Account{KeySHA256: hex.EncodeToString(sum[:]), MaxWaiting: maxWaiting, MaxConnections: 1 << 16, MaxBodies: 1 << 30}
+		cfg.Accounts[a.Name] = acct.Account{KeySHA256: hex.EncodeToString(sum[:]), MaxWaiting: maxWaiting, MaxConnections: 1 << 16, MaxOpenBodyBytes: 1 << 30}
 	}
 	for _, k := range d.Kinds {
 		cfg.Tiers[k.Tier] = tier.Tier{Level: k.Level}
