--- a/core/allow/allow.go
+++ b/core/allow/allow.go
@@ -1,4 +1,4 @@
-// Package allow counts what client accounts use against their rates.
+// Package allow enforces the rates of client accounts with one token bucket per account.
 package allow
 
 import (
@@ -8,65 +8,68 @@
 )
 
 type (
-	// Limiter holds one token bucket an account. The zero value allows everything.
+	// Limiter holds one token bucket per account. The zero value allows everything.
 	Limiter struct {
-		Overage  float64 // Part of rates and bursts that is allowed beyond them.
-		Slack float64 // Units that every burst is larger by.
-		// StartFull says that accounts are taken to have used nothing before, but for what
-		// Used tells; otherwise they have FreshPart of a burst.
+		Overage float64 // Fraction by which rates and bursts may be exceeded.
+		Slack   float64 // Units added to every burst.
+		// StartFull gives each new account a full burst, because its earlier usage is taken to be
+		// zero apart from the usage that ChargePrior reports. Otherwise a new account starts with
+		// InitialFraction of a burst.
 		StartFull bool
 
 		buckets map[string]*bucket
 	}
 
 	bucket struct {
-		rate  float64 // Units a second.
-		burst float64
-		fullBurst float64 // The burst of all shares together.
-		initial float64 // What it has where its use is not known.
-		toppedUp float64 // What of that it was given.
-		tokens  float64 // May be below zero: some units are charged after they were used.
-		refilledAt    time.Time
+		rate       float64 // Units per second.
+		burst      float64 // Maximum tokens: this share of fullBurst.
+		fullBurst  float64 // Burst of all shares together.
+		initial    float64 // Tokens of an account whose usage is unknown.
+		toppedUp   float64 // Part of initial that TopUpGrowth has added already.
+		tokens     float64 // May be negative: some units are charged after they were used.
+		refilledAt time.Time
 	}
 )
 
-// retryFill is the part of a burst that a refused account is told to wait for.
+// retryFill is the fraction of the burst that must be available again when a refused account is
+// told to retry.
 const retryFill = 0.05
 
-// maxRetryAfter bounds the time that a refused account is told to wait.
+// maxRetryAfter bounds the retry time of a refused account.
 const maxRetryAfter = 5 * time.Second
 
-// InitialFraction is the part of a burst that is left to an account of which nothing
-// is known yet. A counter that takes over from another does not know what was
-// used there: with a whole burst an account that was at its limit would get
-// twice of it, and with nothing all others would be refused for a moment.
+// InitialFraction is the fraction of a burst that an account has while its usage is unknown. A
+// limiter that takes over from another does not know the usage there. With a full burst, an account
+// at its limit would get a second burst; with an empty bucket, all other accounts would be refused
+// for a moment.
 const InitialFraction = 0.1
 
-// Parts of rates for schedulers and entries that know of nobody else, behind a cut
-// or without a scheduler. The scheduler on the other side leaves them these.
+// Fractions of rates for schedulers and entries that know of no others, because of a network
+// partition or because there is no scheduler. The scheduler on the other side of the partition
+// reserves these fractions for them.
 const (
-	// EqualShareFraction is the part of an equal share that may pass. The other side goes on
-	// with whole rates until it has missed who is cut off; an account that asks for
-	// all it may have on both sides would pass its rate by a tenth within seconds.
+	// EqualShareFraction is the fraction of an equal share that may pass. The other side admits the
+	// full rates until it notices which nodes are cut off. With whole equal shares, an account that
+	// asks for its full rate on both sides would exceed it by a tenth within seconds.
 	EqualShareFraction = 0.5
-	// UsageFraction is the part of what an account used there of late that may pass, if
-	// that is more. Behind a cut few entries serve all callers of a data centre: by
-	// equal shares, half of what they refused there was refused for the rate of an
-	// account that was far below its own.
+	// UsageFraction is the fraction of an account's recent usage on this side that may pass, if
+	// that is more. Behind a partition, few entries serve all callers of a data centre. With equal
+	// shares alone, half of the refusals there were rate limits on accounts far below their rates.
 	UsageFraction = 0.95
-	// ReserveFactor is what the scheduler on the other side leaves them, in times of what was
-	// used there. It is more than they take by as much as both sides let pass in the
-	// moments before they know of each other, and costs those accounts alone that ask for
-	// their whole rate on the scheduler's side.
+	// ReserveFactor is the multiple of an account's recent usage behind the partition that the
+	// scheduler on the other side reserves. The excess over UsageFraction covers the units that
+	// both sides admit before they detect the partition. It costs only accounts that ask for their
+	// full rate on the scheduler's side.
 	ReserveFactor = 1.1
-	// SlackFraction is the part of the slack of rates that all of them together may use;
-	// a quarter is the scheduler's, and a quarter is left for what both sides let pass
-	// before they know of a cut.
+	// SlackFraction is the fraction of the slack of rates that all these nodes together may use. A
+	// quarter is left for the scheduler, and a quarter for the units that both sides admit before
+	// they detect a partition.
 	SlackFraction = 0.5
 )
 
-// StandaloneShare is the part of a rate that may pass at one that knows of nobody else: share
-// is its equal share, used the units a second that the account used there of late.
+// StandaloneShare returns the fraction of a rate that a node may admit while it knows of no others.
+// Share is its equal share of the rate. Used is the account's recent usage there and rate the
+// account's rate, both in units per second.
 func StandaloneShare(share, used, rate float64) float64 {
 	equal := EqualShareFraction * share
 	if rate <= 0 {
@@ -75,14 +78,14 @@
 	return max(equal, min(UsageFraction*used/rate, UsageFraction))
 }
 
-// Set puts the rates of the accounts in force, each times share. What accounts
-// have used stays counted, so that a change gives nobody a second burst.
+// Set installs the rates of the accounts, each multiplied by share. The usage so far stays counted,
+// so that a change gives no account a second burst.
 func (a *Limiter) Set(now time.Time, accounts map[string]acct.Account, share float64) {
 	a.SetShares(now, accounts, func(string) float64 { return share })
 }
 
-// SetShares is Set with a share for each account. A larger share gives nothing at
-// once: shares that go up and down would give it again and again.
+// SetShares is Set with a separate share for each account. A larger share adds no tokens by itself:
+// a share that goes up and down would add them again and again.
 func (a *Limiter) SetShares(now time.Time, accounts map[string]acct.Account, share func(account string) float64) {
 	old := a.buckets
 	a.buckets = make(map[string]*bucket, len(accounts))
@@ -90,23 +93,23 @@
 		if c.Rate <= 0 {
 			continue
 		}
-		part, whole := share(name), c.Burst*(1+a.Overage)+a.Slack
-		b := &bucket{rate: c.Rate * (1 + a.Overage) * part, burst: whole * part, fullBurst: whole, refilledAt: now}
+		fraction, fullBurst := share(name), c.Burst*(1+a.Overage)+a.Slack
+		b := &bucket{rate: c.Rate * (1 + a.Overage) * fraction, burst: fullBurst * fraction, fullBurst: fullBurst, refilledAt: now}
 		b.tokens = b.burst * InitialFraction
 		if a.StartFull {
 			b.tokens = b.burst
 		}
-		b.initial = b.burst*InitialFraction + a.Slack*part*(1-InitialFraction)
-		if was := old[name]; was != nil {
-			was.refill(now)
-			b.tokens, b.toppedUp = min(b.burst, was.tokens+max(whole-was.fullBurst, 0)*part), was.toppedUp
+		b.initial = b.burst*InitialFraction + a.Slack*fraction*(1-InitialFraction)
+		if previous := old[name]; previous != nil {
+			previous.refill(now)
+			b.tokens, b.toppedUp = min(b.burst, previous.tokens+max(fullBurst-previous.fullBurst, 0)*fraction), previous.toppedUp
 		}
 		a.buckets[name] = b
 	}
 }
 
-// TopUp gives an account what one has of which nothing is known, and the slack
-// of its share.
+// TopUp raises the tokens of an account to those of an account whose usage is unknown, plus the
+// slack of its share.
 func (a *Limiter) TopUp(now time.Time, account string) {
 	if b := a.buckets[account]; b != nil {
 		b.refill(now)
@@ -114,9 +117,8 @@
 	}
 }
 
-// TopUpGrowth gives an account what a part of its rate that has grown since has more of than
-// it had, of what one has of which nothing is known. Each bit is given once, however
-// often the part changes.
+// TopUpGrowth adds the initial tokens by which the share of an account has grown. Each token is
+// added once, however often the share changes.
 func (a *Limiter) TopUpGrowth(now time.Time, account string) {
 	b := a.buckets[account]
 	if b == nil {
@@ -128,22 +130,23 @@
 	}
 }
 
-// ChargePrior tells that an account used so many units a second before the counting began,
-// beyond what was told already. Who used its whole rate has FreshPart of a burst left.
+// ChargePrior charges an account for its usage before the counting began. Rate is that usage in
+// units per second, in addition to the usage charged by earlier calls. An account that used its
+// full rate has InitialFraction of a burst left.
 func (a *Limiter) ChargePrior(now time.Time, account string, rate float64) {
 	b := a.buckets[account]
 	if b == nil {
 		return
 	}
 	b.refill(now)
-	least := min(b.tokens, b.burst*InitialFraction)
-	b.tokens = max(b.tokens-b.burst*rate/b.rate, least)
+	floor := min(b.tokens, b.burst*InitialFraction)
+	b.tokens = max(b.tokens-b.burst*rate/b.rate, floor)
 }
 
-// Take uses units of an account that has any left, even if they are fewer: were
-// a request to wait for all of its units, an account whose share is small would
-// never get its large ones through. An account with none left uses none and is
-// told when it has some.
+// Take charges units to an account that has any tokens, even if they are fewer than units. If a
+// request had to wait for all of its units, an account with a small share could never send its
+// large requests. An account without tokens is charged nothing, and Take returns how long it should
+// wait before the next try.
 func (a *Limiter) Take(now time.Time, account string, units int64) (time.Duration, bool) {
 	b := a.buckets[account]
 	if b == nil {
@@ -158,8 +161,7 @@
 	return min(wait, maxRetryAfter), false
 }
 
-// Charge counts units that were used already, or gives them back when they are
-// below zero.
+// Charge counts units that were used already. Negative units are given back.
 func (a *Limiter) Charge(now time.Time, account string, units int64) {
 	b := a.buckets[account]
 	if b == nil {
--- a/core/allow/allow_test.go
+++ b/core/allow/allow_test.go
@@ -15,9 +15,8 @@
 	return map[string]acct.Account{"a": {Rate: rate, Burst: burst}, "free": {}}
 }
 
-// An account sends six times its rate for ten seconds. In any eight seconds at
-// most its rate times eight, its burst and one request pass; an account without
-// a rate is never refused.
+// An account sends six times its rate for 10 s. In any 8 s, at most eight times its rate, its burst
+// and one request pass. An account without a rate is never refused.
 func TestRate(t *testing.T) {
 	var a Limiter
 	a.Set(start, accounts(100, 100), 1)
@@ -42,8 +41,8 @@
 	must.Greater(t, 90, len(passed))
 }
 
-// One request is larger than the share of the rate that one of many entries
-// has. It must pass sometime, and be paid for by those after it.
+// A request is larger than one entry's share of the account's rate. It must pass at some time, and
+// the requests after it must pay for it.
 func TestLargeRequestPasses(t *testing.T) {
 	var a Limiter
 	a.Set(start, accounts(100, 100), 0.1)
@@ -54,13 +53,13 @@
 	must.Greater(t, time.Second, wait)
 }
 
-// A counter begins after a stop of everything, or takes over from another while
-// callers go on at some part of their rate. What is left for them follows what those
-// tell that have seen them; one at its limit gets no second burst.
-func TestLeftByWhatWasUsed(t *testing.T) {
+// A limiter starts after an outage, or takes over from another, while callers continue at some
+// fraction of their rate. The tokens left depend on the usage that nodes report, and an account at
+// its limit gets no second burst.
+func TestPriorUsageReducesTokens(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		used  []float64 // Of a rate of 100, as several tell it.
+		used  []float64 // Units per second, of a rate of 100, as reported by several nodes.
 		least int
 		most  int
 	}{
@@ -86,8 +85,8 @@
 	}
 }
 
-// Another scheduler takes over from one whose counts are lost. An account at its
-// limit must not get a whole burst again.
+// A scheduler takes over from one whose counts are lost. An account at its limit must not get a
+// full burst again.
 func TestTakeoverGivesNoSecondBurst(t *testing.T) {
 	var a Limiter
 	a.Set(start, accounts(100, 1000), 1)
@@ -100,9 +99,9 @@
 	must.LessEq(t, InitialFraction*1000+100, float64(units))
 }
 
-// A changed rate keeps what was used: no change of the configuration gives a
-// burst away, and a lower rate is in force at once.
-func TestChangeKeepsWhatWasUsed(t *testing.T) {
+// A changed rate keeps the usage so far: a change of the configuration gives no account a new
+// burst, and a lower rate takes effect at once.
+func TestChangeKeepsUsage(t *testing.T) {
 	var a Limiter
 	a.Set(start, accounts(100, 100), 1)
 	a.Charge(start, "a", 1000)
@@ -114,10 +113,10 @@
 	must.True(t, ok)
 }
 
-// Entries come one after the other to a scheduler of their data centre, and with each
-// the part of the rate grows. An account that takes all it gets meanwhile has been
-// given what the whole part has at its start, and not as much again with each of them.
-func TestGrownPartsAreGivenOnce(t *testing.T) {
+// Entries join a scheduler of their data centre one after the other, and each raises its share of
+// the rate. An account that uses all of its tokens meanwhile gets the initial tokens of the whole
+// share once, and not again with each entry.
+func TestShareGrowthIsAddedOnce(t *testing.T) {
 	var a Limiter
 	now, part, taken := time.Unix(1000, 0), 0.0, int64(0)
 	accounts := map[string]acct.Account{"a": {Rate: 1, Burst: 10000}}
--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -1,19 +1,18 @@
-// Package budget bounds how much of an entry's work may be second attempts.
+// Package budget limits the retries of an entry to a fraction of its requests.
 package budget
 
-// Budget is a store of tokens. Each first attempt adds a part of a token, each
-// further attempt takes a whole one. While all goes well the store is full and
-// a few failures are retried at once; when most attempts fail, retries are at
-// most Ratio of the requests, so that a pool in trouble isn't sent several times
-// its load. It counts requests, so it needs no clock. The zero value holds
-// Burst tokens with the defaults.
+// Budget is a token bucket for retries. Each first attempt adds a fraction of a token, and each
+// further attempt takes a whole one. While most requests succeed, the bucket is full and a few
+// failures are retried at once. When most attempts fail, retries are limited to Ratio of the
+// requests, so that a failing pool is not sent a multiple of its load. The bucket is refilled by
+// requests and needs no clock. The zero value holds Burst tokens with the defaults.
 type Budget struct {
-	Ratio float64 // Tokens a first attempt adds; 0 takes DefaultRatio.
-	Burst float64 // Most tokens held; 0 takes DefaultBurst.
-	spent float64 // Tokens missing from a full store.
+	Ratio float64 // Tokens that a first attempt adds; 0 means DefaultRatio.
+	Burst float64 // Maximum number of tokens; 0 means DefaultBurst.
+	spent float64 // Tokens missing from a full bucket.
 }
 
-// Defaults for what is left at zero.
+// Defaults for fields that are zero.
 const (
 	DefaultRatio = 0.1
 	DefaultBurst = 20
@@ -28,7 +27,7 @@
 	b.spent = max(b.spent-ratio, 0)
 }
 
-// TakeRetry reports whether one more attempt may be made, and counts it.
+// TakeRetry reports whether one more attempt may be made. If so, it takes a token.
 func (b *Budget) TakeRetry() bool {
 	burst := b.Burst
 	if burst == 0 {
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -8,10 +8,10 @@
 	"azurelane/core/budget"
 )
 
-// Every upstream of a pool refuses connections and 1,000 requests come. With
-// three attempts each the pool would be dialled 3,000 times; the budget leaves
-// the burst and a tenth of the requests as second attempts.
-func TestRetriesAreAPartOfRequests(t *testing.T) {
+// All upstreams of a pool refuse connections while 1,000 requests arrive. With three attempts each,
+// the pool would be dialled 3,000 times. The budget allows the burst and a tenth of the requests as
+// retries.
+func TestRetriesAreLimited(t *testing.T) {
 	var b budget.Budget
 	retries := 0
 	for range 1000 {
--- a/core/grants/held.go
+++ b/core/grants/grants.go
@@ -1,5 +1,5 @@
-// Package held keeps the slots that an entry holds, the truth about which only
-// the entry has.
+// Package grants keeps the slots that an entry holds. Only the entry knows them for certain, so it
+// sends lists of them to the owners of the pools.
 package grants
 
 import (
@@ -10,17 +10,17 @@
 	"azurelane/core/wire"
 )
 
-// PoolRetention is how long a pool is listed after its last slot was given back. An
-// empty list frees what a lost release left taken.
+// PoolRetention is how long a pool is listed after its last slot was released. The empty list frees
+// a slot whose release was lost.
 const PoolRetention = 10 * time.Second
 
-// MinListAge is the age from which a slot stands in a periodic list. An owner
-// leaves younger absent ones alone, so listing them would only cost bytes:
-// most runs of short requests are over before.
+// MinListAge is the minimum age of a slot in periodic lists. An owner does not free younger slots
+// that a list lacks, and most runs of short requests end earlier, so listing those slots would only
+// add bytes.
 const MinListAge = 2 * time.Second
 
 type (
-	// Set holds the slots by ticket. The zero value is empty and ready.
+	// Set holds the slots by ticket. The zero value is empty and ready to use.
 	Set struct {
 		slots map[uint64]*heldSlot
 		pools map[string]time.Time // Last use of each pool.
@@ -32,7 +32,7 @@
 	}
 )
 
-// Add notes a grant.
+// Add records a granted slot.
 func (h *Set) Add(now time.Time, t *wire.Ticket, g *wire.Grant) {
 	if h.slots == nil {
 		h.slots, h.pools = map[uint64]*heldSlot{}, map[string]time.Time{}
@@ -48,7 +48,7 @@
 	h.pools[t.GetPool()] = now
 }
 
-// Remove notes that the slot of a ticket was given back.
+// Remove records that the slot of a ticket was released.
 func (h *Set) Remove(now time.Time, pool string, ticket uint64) {
 	if h.slots[ticket] != nil {
 		delete(h.slots, ticket)
@@ -56,7 +56,8 @@
 	}
 }
 
-// Pools lists the pools whose owners want a list, sorted.
+// Pools returns the pools whose owners need a list, sorted: those with held slots, and those used
+// within PoolRetention.
 func (h *Set) Pools(now time.Time) []string {
 	for _, s := range h.slots {
 		h.pools[s.GetTicket().GetPool()] = now
@@ -73,7 +74,7 @@
 	return list
 }
 
-// List returns the slots of some pools that are at least so old, by ticket.
+// List returns the slots of the given pools that are at least as old as age, sorted by ticket.
 func (h *Set) List(now time.Time, pools []string, age time.Duration) []*wire.HeldSlot {
 	var list []*wire.HeldSlot
 	for _, s := range h.slots {
@@ -85,8 +86,8 @@
 	return list
 }
 
-// Tickets returns the tickets of the slots that List returns: all that an owner
-// needs which has had the list before.
+// Tickets returns the ticket IDs of the slots that List returns. They are sufficient for an owner
+// that has received these slots in a list before.
 func (h *Set) Tickets(now time.Time, pools []string, age time.Duration) []uint64 {
 	var list []uint64
 	for _, s := range h.List(now, pools, age) {
@@ -95,5 +96,5 @@
 	return list
 }
 
-// Len is the number of slots held.
+// Len returns the number of slots held.
 func (h *Set) Len() int { return len(h.slots) }
--- a/core/grants/held_test.go
+++ b/core/grants/grants_test.go
@@ -21,8 +21,9 @@
 	}
 }
 
-// An owner is told of a pool for a while after the last slot was given back,
-// and of young slots only when it is new.
+// A pool is listed for PoolRetention after its last slot was released. Slots younger than
+// MinListAge are left out of periodic lists, but not of the first list for a new owner, which has
+// no minimum age.
 func TestList(t *testing.T) {
 	var h grants.Set
 	now := time.Unix(1e6, 0)
@@ -41,7 +42,7 @@
 	must.SliceEmpty(t, h.Pools(now.Add(grants.PoolRetention+1)))
 }
 
-// BenchmarkList is the list of so many slots and what it costs on the wire.
+// BenchmarkList measures listing n slots and the size of the list on the wire.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{10, 50, 150, 500} {
 		b.Run(fmt.Sprintf("slots=%d", n), func(b *testing.B) {
--- a/core/meter/meter.go
+++ b/core/meter/meter.go
@@ -1,28 +1,28 @@
-// Package meter holds the requests to one upstream to the rate that it names.
+// Package meter limits the requests to one upstream to the rate that the upstream names.
 package meter
 
 import "time"
 
 const (
-	// burstWindow is the time whose requests may come at once after a pause.
+	// burstWindow is the time whose requests may be sent at once after a pause.
 	burstWindow = 500 * time.Millisecond
-	// minRate is the least that is sent, in requests a second: an upstream tells in
-	// answers alone that its limit has ended.
+	// minRate is the lowest rate that is sent, in requests per second. An upstream reports the end
+	// of its limit only in answers, so some requests must reach it.
 	minRate = 0.25
 )
 
-// Meter is a token bucket. The zero value lets everything pass. One that gets a limit
-// begins without tokens: it does not know what was sent a moment before.
+// Meter is a token bucket. The zero value has no limit. The first limit starts without tokens,
+// because it is not known how many requests were sent just before.
 type Meter struct {
 	limited    bool
-	rate  float64 // Requests a second.
-	burst float64
-	tokens  float64
-	refilledAt    time.Time
+	rate       float64 // Requests per second.
+	burst      float64 // Maximum tokens.
+	tokens     float64
+	refilledAt time.Time
 }
 
-// SetLimit holds the requests to a share of a rate, in requests a second, from now on. With
-// a share of zero nothing passes and nothing is saved up.
+// SetLimit limits the requests to a share of a rate, in requests per second, from now on. With a
+// share of zero, no request may be sent and no tokens accumulate.
 func (m *Meter) SetLimit(now time.Time, rate, share float64) {
 	m.refill(now)
 	m.limited, m.rate, m.burst = true, max(rate, minRate)*share, 0
@@ -32,10 +32,10 @@
 	m.tokens = min(m.tokens, m.burst)
 }
 
-// Unlimit lets everything pass again.
+// Unlimit removes the limit.
 func (m *Meter) Unlimit() { *m = Meter{} }
 
-// Rate is the limit, in requests a second; ok is false where there is none.
+// Rate returns the limit in requests per second; ok is false if there is none.
 func (m *Meter) Rate() (rate float64, ok bool) { return m.rate, m.limited }
 
 // CanSend reports whether one more request may be sent now.
@@ -44,7 +44,7 @@
 	return !m.limited || (m.tokens >= 1 && m.rate > 0)
 }
 
-// Wait is the time until one more request may be sent, an hour where none may.
+// Wait returns the time until one more request may be sent, or an hour if the share is zero.
 func (m *Meter) Wait(now time.Time) time.Duration {
 	switch {
 	case m.CanSend(now):
@@ -55,7 +55,7 @@
 	return time.Duration((1 - m.tokens) / m.rate * float64(time.Second))
 }
 
-// Take counts a request, also one that is sent without room.
+// Take counts a request, including one that is sent although CanSend is false.
 func (m *Meter) Take(now time.Time) {
 	m.refill(now)
 	if m.limited {
--- a/core/meter/meter_test.go
+++ b/core/meter/meter_test.go
@@ -10,8 +10,8 @@
 
 var start = time.Unix(1000, 0)
 
-// Guards against more requests in some four seconds than one and a half times the limit
-// and five, and against an upstream that gets much less than it takes.
+// Guards against sending more than 1.5 times the limit plus five requests in any 4 s, and against
+// sending much less than the upstream accepts.
 func TestWithinTheLimit(t *testing.T) {
 	const step, span = time.Millisecond, 4 * time.Second
 	for _, rate := range []float64{0, 0.1, 1, 1.3, 8.9, 100} {
@@ -40,7 +40,8 @@
 	}
 }
 
-// Guards against limits that give tokens with each change, and against one that stays.
+// Guards against limits that add tokens with each change, and against a limit that outlasts
+// Unlimit.
 func TestLimitChanges(t *testing.T) {
 	var m Meter
 	must.True(t, m.CanSend(start))
@@ -68,9 +69,9 @@
 	must.Eq(t, 0, m.Wait(start))
 }
 
-// Guards against a request that is saved up while another entry has the share, and sent
-// on top of what that one sent.
-func TestNothingIsSavedWithoutAShare(t *testing.T) {
+// Guards against a token that is kept while another entry has the share. Its request would be sent
+// in addition to those of the other entry.
+func TestNoTokensWithoutShare(t *testing.T) {
 	var m Meter
 	m.SetLimit(start, 1, 1)
 	now := start.Add(time.Minute)
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -1,12 +1,12 @@
-// Package quota bounds what each client account has open at one entry, so that
-// one account can't take the connections and memory of the others.
+// Package quota limits the open requests and request bodies of each client account at one entry, so
+// that one account can't take the connections and memory of the others.
 package quota
 
 import "azurelane/core/tier"
 
 type (
-	// Quota counts open requests and their bodies by account. The zero value is
-	// empty and ready.
+	// Quota counts open requests and the bytes of their bodies by account. The zero value is empty
+	// and ready to use.
 	Quota struct {
 		accounts map[string]*account
 	}
@@ -20,17 +20,18 @@
 	request struct {
 		level   int
 		bytes   int64
-		waiting bool // It may be shed.
+		waiting bool // The request may be shed.
 	}
 )
 
-// Admit counts a request in. When its account is at its most requests, the newest
-// waiting one of the least urgent lower tier goes for it: the result names it,
-// and the caller must refuse it. Otherwise what runs in lower tiers doesn't
-// stand in the way: a request is refused only when as many requests as urgent as
-// itself are open and no lower one waits. Without this an account's bulk work
-// would fill its limit, and its alert be refused while the bulk work is kept.
-func (q *Quota) Admit(name string, id uint64, level, most int) (shed []uint64, ok bool) {
+// Admit counts a new request. Level 0 is the most urgent. If the account has reached its limit of
+// open requests, Admit sheds the newest waiting request of the least urgent level, provided that
+// this level is less urgent than the new request's. The caller must refuse the requests in shed.
+// Running requests of less urgent levels don't count against the new one: it is refused only if
+// requests at least as urgent as itself fill the limit and no less urgent one waits. Otherwise an
+// account's bulk work would fill the limit, and its alerts would be refused while the bulk work is
+// kept.
+func (q *Quota) Admit(name string, id uint64, level, limit int) (shed []uint64, ok bool) {
 	a := q.accounts[name]
 	if a == nil {
 		a = &account{open: map[uint64]*request{}}
@@ -39,8 +40,8 @@
 		}
 		q.accounts[name] = a
 	}
-	shed = a.shedWhile(level, func() bool { return a.requestsUpTo(tier.Levels-1) >= most })
-	if a.requestsUpTo(level) >= most {
+	shed = a.shedWhile(level, func() bool { return a.requestsUpTo(tier.Levels-1) >= limit })
+	if a.requestsUpTo(level) >= limit {
 		q.removeIfEmpty(name)
 		return shed, false
 	}
@@ -49,15 +50,15 @@
 	return shed, true
 }
 
-// AddBytes counts n more bytes of a request's body, by the same rule.
-func (q *Quota) AddBytes(name string, id uint64, n, most int64) (shed []uint64, ok bool) {
+// AddBytes counts n more bytes of a request's body, by the same rule as Admit.
+func (q *Quota) AddBytes(name string, id uint64, n, limit int64) (shed []uint64, ok bool) {
 	a := q.accounts[name]
 	if a == nil || a.open[id] == nil {
 		return nil, false
 	}
 	r := a.open[id]
-	shed = a.shedWhile(r.level, func() bool { return a.bytesUpTo(tier.Levels-1)+n > most })
-	if a.bytesUpTo(r.level)+n > most {
+	shed = a.shedWhile(r.level, func() bool { return a.bytesUpTo(tier.Levels-1)+n > limit })
+	if a.bytesUpTo(r.level)+n > limit {
 		return shed, false
 	}
 	r.bytes += n
@@ -65,11 +66,11 @@
 	return shed, true
 }
 
-// MarkWaiting notes that a request waits for a slot: from now on it may be shed.
+// MarkWaiting records that a request waits for a slot. From then on it may be shed.
 func (q *Quota) MarkWaiting(name string, id uint64) { q.setWaiting(name, id, true) }
 
-// MarkRunning notes that a request is about to run. It reports false when the request
-// has been shed; it must not run then.
+// MarkRunning records that a request is about to run. It returns false if the request has been shed
+// and must not run.
 func (q *Quota) MarkRunning(name string, id uint64) bool { return q.setWaiting(name, id, false) }
 
 func (q *Quota) setWaiting(name string, id uint64, waiting bool) bool {
@@ -81,7 +82,7 @@
 	return true
 }
 
-// Release takes back what a request counted. One that was shed counts no more.
+// Release removes a request from the counts. It does nothing for a request that was shed.
 func (q *Quota) Release(name string, id uint64) {
 	if a := q.accounts[name]; a != nil {
 		a.remove(id)
@@ -95,8 +96,8 @@
 	}
 }
 
-// shedWhile drops requests below the level as long as the account is over its
-// limit and one of them waits.
+// shedWhile sheds waiting requests less urgent than level while the account is over its limit, and
+// returns their IDs.
 func (a *account) shedWhile(level int, over func() bool) (ids []uint64) {
 	for over() {
 		id, found := a.shedOne(level)
@@ -108,8 +109,8 @@
 	return ids
 }
 
-// shedOne drops the newest waiting request of the least urgent level below the
-// given one. Only an account at its limit pays for the search.
+// shedOne sheds the newest waiting request of the least urgent level, if that level is less urgent
+// than the given one. It searches all open requests, which only an account at its limit pays for.
 func (a *account) shedOne(level int) (uint64, bool) {
 	var victim uint64
 	var found bool
@@ -135,6 +136,7 @@
 	}
 }
 
+// requestsUpTo counts the open requests that are at least as urgent as level.
 func (a *account) requestsUpTo(level int) (n int) {
 	for _, v := range a.requests[:level+1] {
 		n += v
@@ -142,6 +144,7 @@
 	return n
 }
 
+// bytesUpTo counts the body bytes of requests that are at least as urgent as level.
 func (a *account) bytesUpTo(level int) (n int64) {
 	for _, v := range a.bytes[:level+1] {
 		n += v
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -19,9 +19,9 @@
 	os.Exit(m.Run())
 }
 
-// An account's bulk requests fill its limit, some waiting and some running.
-// Its alerts take the place of the newest waiting ones, then come in beside
-// the running ones, and are refused only when alerts alone fill the limit.
+// An account's bulk requests fill its limit; some wait and some run. Its alerts replace the newest
+// waiting requests, are then admitted in addition to the running ones, and are refused only if
+// alerts alone fill the limit.
 func TestAlertsBeforeBulk(t *testing.T) {
 	var q quota.Quota
 	for id := uint64(1); id <= 4; id++ {
@@ -47,9 +47,9 @@
 	must.True(t, ok)
 }
 
-// Whatever comes and goes: no request is refused while a lower one of its
-// account waits, none is refused with room for its tier, no account has more
-// than its limit in a tier, and all is given back.
+// After any sequence of calls: no request is refused while a less urgent one of its account waits
+// or while its tier has room, no account exceeds its limit in a tier, and all counts return to
+// zero.
 func TestProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type open struct {
@@ -59,9 +59,9 @@
 		}
 		const most, mostBytes = 4, 100
 		var q quota.Quota
-		have := map[uint64]*open{}
+		admitted := map[uint64]*open{}
 		atMost := func(level int) (n int, b int64, lower bool) {
-			for _, o := range have {
+			for _, o := range admitted {
 				if o.level <= level {
 					n, b = n+1, b+o.bytes
 				} else if o.waiting {
@@ -72,15 +72,15 @@
 		}
 		drop := func(ids []uint64, level int) {
 			for _, id := range ids {
-				must.NotNil(t, have[id])
-				v := have[id]
+				must.NotNil(t, admitted[id])
+				v := admitted[id]
 				must.True(t, v.waiting && v.level > level)
-				for other, o := range have {
+				for other, o := range admitted {
 					if o.waiting && (o.level > v.level || (o.level == v.level && other > id)) {
 						t.Fatalf("%d was shed before %d", id, other)
 					}
 				}
-				delete(have, id)
+				delete(admitted, id)
 			}
 		}
 		for id := uint64(1); id < uint64(rapid.IntRange(2, 80).Draw(t, "steps")); id++ {
@@ -96,9 +96,9 @@
 					must.False(t, lower)
 					continue
 				}
-				have[id] = &open{level: level}
+				admitted[id] = &open{level: level}
 			case 2:
-				o := have[old]
+				o := admitted[old]
 				add := int64(rapid.IntRange(0, 60).Draw(t, "bytes"))
 				shed, ok := q.AddBytes("a", old, add, mostBytes)
 				if o == nil {
@@ -118,17 +118,17 @@
 				if wait {
 					q.MarkWaiting("a", old)
 				} else {
-					must.Eq(t, have[old] != nil, q.MarkRunning("a", old))
+					must.Eq(t, admitted[old] != nil, q.MarkRunning("a", old))
 				}
-				if have[old] != nil {
-					have[old].waiting = wait
+				if admitted[old] != nil {
+					admitted[old].waiting = wait
 				}
 			case 4:
 				q.Release("a", old)
-				delete(have, old)
+				delete(admitted, old)
 			}
 		}
-		for id := range have {
+		for id := range admitted {
 			q.Release("a", id)
 		}
 		for id := uint64(1000); id < 1000+most; id++ {
--- a/core/slots/slots.go
+++ b/core/slots/slots.go
@@ -1,4 +1,4 @@
-// Package slots counts what runs where, by the grants given out.
+// Package slots tracks the slots of one pool that are granted and not yet released.
 package slots
 
 import (
@@ -11,17 +11,18 @@
 )
 
 type (
-	// Slots holds the grants of one pool that have not been released: at most
-	// one a ticket. The zero value is empty and ready.
+	// Slots holds the grants of one pool that have not been released, at most one per ticket, and
+	// updates the load counters of their upstreams. The zero value is empty and ready to use.
 	Slots struct {
-		lastNumber     uint64
-		held     map[string]map[uint64]*slot.Slot // By entry incarnation and ticket.
-		accounts map[string]int
-		count        int
-		released map[slotID]time.Time
+		lastNumber uint64                           // Number of the latest slot granted here.
+		held       map[string]map[uint64]*slot.Slot // By entry incarnation and ticket.
+		accounts   map[string]int                   // Number of held slots by client account.
+		count      int
+		released   map[slotID]time.Time // Release times of recently released slots.
 	}
 
-	// slotID names a slot for good. Owners number their slots by themselves.
+	// slotID identifies a slot uniquely. Each owner numbers its slots independently, so the number
+	// alone is not unique.
 	slotID struct {
 		incarnation, owner string
 		ticket, number     uint64
@@ -29,15 +30,16 @@
 )
 
 const (
-	// ReconcileGrace is how old a slot must be before its absence from the list of
-	// its entry frees it. A grant is on its way to the entry for less than that.
+	// ReconcileGrace is the age at which a slot is freed if the list of its entry lacks it. A
+	// younger grant may still be in transit to the entry.
 	ReconcileGrace = 5 * time.Second
-	// releasedRetention is how long a released slot can't be adopted again. Lists
-	// of held slots are not underway for longer.
+	// releasedRetention is how long a released slot is remembered and not adopted again. Lists of
+	// held slots are not in transit for longer.
 	releasedRetention = 10 * time.Second
 )
 
-// Grant takes a slot for s.Ticket on s.Up, numbers it and returns the decision.
+// Grant takes a slot for g.Ticket on g.Upstream, numbers it and returns the decision for the entry.
+// The grant expires after ttl.
 func (s *Slots) Grant(now time.Time, g *slot.Slot, ttl time.Duration) *wire.Decision {
 	s.lastNumber++
 	g.Number, g.GrantedAt, g.Owner = s.lastNumber, now, ""
@@ -53,20 +55,20 @@
 	}
 }
 
-// Reconcile reconciles the slots of an entry with the list that it sent. The list
-// is the truth, since only the entry knows what it dispatched:
+// Reconcile updates the slots of an entry to the list that the entry sent. The list is
+// authoritative, because only the entry knows which requests it dispatched:
 //
-//   - A listed slot that isn't known is adopted. A former owner granted it, or
-//     this one took the entry for dead and it wasn't.
-//   - A known slot that isn't listed is freed once it is older than HeldGrace.
-//     Its grant or its release was lost on a link. Without this rule it would
-//     stay taken for ever and the upstream would lose a place with each loss.
+//   - A listed slot that is unknown here is adopted. It was granted by a former owner, or by this
+//     owner before it wrongly took the entry for dead.
+//   - A known slot that is not listed is freed once it is older than ReconcileGrace. Its grant or
+//     its release was lost on the network. Without this rule, each loss would reduce the capacity of
+//     the upstream by one slot for good.
 //
-// A list that was overtaken by a release must not bring the slot back, so
-// released slots are remembered for a while. Tickets names slots that stood in
-// a list before; one that isn't known is adopted when it stands in a list again.
-// Up finds an upstream by name.
-func (s *Slots) Reconcile(now time.Time, incarnation string, list []*wire.HeldSlot, tickets []uint64, up func(string) *upstr.Upstream) {
+// A list may arrive after the release of one of its slots. Released slots are therefore remembered
+// for releasedRetention and not adopted. Tickets identifies held slots that earlier lists described
+// in full. Those that are unknown here are adopted once a list describes them again. Lookup finds
+// an upstream by name.
+func (s *Slots) Reconcile(now time.Time, incarnation string, list []*wire.HeldSlot, tickets []uint64, lookup func(string) *upstr.Upstream) {
 	listed := make(map[uint64]bool, len(list)+len(tickets))
 	for _, id := range tickets {
 		listed[id] = true
@@ -75,10 +77,10 @@
 		t, g := h.GetTicket(), h.GetGrant()
 		listed[t.GetId()] = true
 		k := slotID{incarnation, g.GetOwner(), t.GetId(), g.GetSlot()}
-		if _, gone := s.released[k]; gone || s.held[incarnation][t.GetId()] != nil {
+		if _, released := s.released[k]; released || s.held[incarnation][t.GetId()] != nil {
 			continue
 		}
-		s.add(&slot.Slot{Upstream: up(g.GetUpstream()), Ticket: t, Owner: g.GetOwner(), Number: g.GetSlot(), GrantedAt: now})
+		s.add(&slot.Slot{Upstream: lookup(g.GetUpstream()), Ticket: t, Owner: g.GetOwner(), Number: g.GetSlot(), GrantedAt: now})
 	}
 	for id, v := range s.held[incarnation] {
 		if !listed[id] && now.Sub(v.GrantedAt) > ReconcileGrace {
@@ -126,9 +128,8 @@
 	}
 }
 
-// Free gives back the slot that a release names, or returns nil when it was
-// given back before. A late release of a ticket's former slot does not free the
-// slot that the ticket has now.
+// Free releases the slot that r names. It returns nil if that slot was released before. A late
+// release of an earlier slot of a ticket does not free the ticket's current slot.
 func (s *Slots) Free(now time.Time, r *wire.Release) *slot.Slot {
 	v := s.held[r.GetIncarnation()][r.GetTicket()]
 	if v == nil || v.Owner != r.GetOwner() || v.Number != r.GetSlot() {
@@ -137,9 +138,9 @@
 	return s.release(now, v)
 }
 
-// Cancel frees the slot of a ticket that will not be dispatched under it, or
-// returns nil when it has none. The entry has withdrawn the ticket or sent it
-// again, so the grant never reached it or it has given up on it.
+// Cancel releases the slot of a ticket that the entry will not dispatch with that slot, or returns
+// nil if the ticket has none. The entry has withdrawn the ticket or submitted it again, so the
+// grant never arrived or the entry no longer uses it.
 func (s *Slots) Cancel(now time.Time, incarnation string, ticket uint64) *slot.Slot {
 	v := s.held[incarnation][ticket]
 	if v == nil {
@@ -148,23 +149,24 @@
 	return s.release(now, v)
 }
 
-// release drops a slot and remembers it, so that no list brings it back.
+// release removes a slot and remembers it, so that an outdated list does not bring it back.
 func (s *Slots) release(now time.Time, v *slot.Slot) *slot.Slot {
 	s.remove(v)
 	s.released[slotID{v.Ticket.GetIncarnation(), v.Owner, v.Ticket.GetId(), v.Number}] = now
 	return v
 }
 
-// FreeEntry frees every slot that an entry's incarnation held.
+// FreeEntry frees all slots that an incarnation of an entry holds. Later lists of the entry may
+// bring them back.
 func (s *Slots) FreeEntry(incarnation string) {
 	for _, v := range s.held[incarnation] {
 		s.remove(v)
 	}
 }
 
-// FreeUpstream frees every slot on an upstream: its process has started anew, so that
-// none of its runs goes on. Some entries notice it late, behind a cut, and would
-// hold places there that the new process has free.
+// FreeUpstream frees all slots on an upstream whose process has restarted, because the runs of the
+// old process ended with it. Entries behind a network partition notice the restart late, and until
+// then their slots would take up free capacity of the new process.
 func (s *Slots) FreeUpstream(now time.Time, u *upstr.Upstream) {
 	for _, tickets := range s.held {
 		for _, v := range tickets {
@@ -175,23 +177,23 @@
 	}
 }
 
-// Sweep frees slots older than limit, the longest run that an entry allows,
-// and calls look for all others.
-func (s *Slots) Sweep(now time.Time, limit time.Duration, look func(*slot.Slot)) {
+// Sweep frees slots older than limit, the longest run that an entry allows, and calls visit for
+// every other slot.
+func (s *Slots) Sweep(now time.Time, limit time.Duration, visit func(*slot.Slot)) {
 	for _, tickets := range s.held {
 		for _, v := range tickets {
 			if now.Sub(v.GrantedAt) > limit {
 				s.remove(v)
 				continue
 			}
-			look(v)
+			visit(v)
 		}
 	}
 	maps.DeleteFunc(s.released, func(_ slotID, at time.Time) bool { return now.Sub(at) > releasedRetention })
 }
 
-// AccountLen is the number of slots that a client account holds.
+// AccountLen returns the number of slots that a client account holds.
 func (s *Slots) AccountLen(name string) int { return s.accounts[name] }
 
-// Len is the number of slots held.
+// Len returns the number of slots held.
 func (s *Slots) Len() int { return s.count }
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -22,7 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// model is the naive version: a list of what is held, and what was released.
+// model is a simple reference implementation: a list of the held slots and a set of the released
+// ones.
 type model struct {
 	held     []*wire.HeldSlot
 	since    map[*wire.HeldSlot]time.Time
@@ -44,17 +45,17 @@
 	return nil
 }
 
-func (m *model) drop(gone func(*wire.HeldSlot) bool) { m.held = slices.DeleteFunc(m.held, gone) }
+func (m *model) drop(matches func(*wire.HeldSlot) bool) { m.held = slices.DeleteFunc(m.held, matches) }
 
 func (m *model) release(h *wire.HeldSlot) {
 	m.drop(func(o *wire.HeldSlot) bool { return o == h })
 	m.released[h] = true
 }
 
-// Slots that leak make an upstream smaller for ever, and slots freed twice
-// overload it. Whatever is granted, released late or twice, cancelled, listed
-// in part or forgotten: each upstream counts just the slots that a plain list
-// holds.
+// A leaked slot reduces the capacity of an upstream for good, and a slot that is freed twice
+// overloads the upstream. After any sequence of grants, late or repeated releases, cancellations,
+// partial lists and forgotten entries, each upstream counts exactly the slots of the reference
+// model.
 func TestConservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ups := []*upstr.Upstream{upstr.New("a"), upstr.New("b")}
@@ -62,7 +63,7 @@
 		var s slots.Slots
 		m := model{since: map[*wire.HeldSlot]time.Time{}, released: map[*wire.HeldSlot]bool{}}
 		now := time.Unix(0, 0)
-		var past []*wire.HeldSlot // All grants ever, for late releases and old lists.
+		var past []*wire.HeldSlot // All grants so far, for late releases and outdated lists.
 		incarnation := rapid.SampledFrom([]string{"x", "y"})
 		ticket := func() *wire.Ticket {
 			return &wire.Ticket{Id: rapid.Uint64Range(1, 6).Draw(t, "id"), Incarnation: incarnation.Draw(t, "inc"), PromptTokens: 3}
@@ -106,19 +107,19 @@
 			"hold": func(t *rapid.T) {
 				inc := incarnation.Draw(t, "inc")
 				var list []*wire.HeldSlot
-				var brief []uint64
+				var ticketsOnly []uint64
 				listed := map[uint64]bool{}
 				for _, h := range past {
 					if h.GetTicket().GetIncarnation() == inc && !listed[h.GetTicket().GetId()] && rapid.Bool().Draw(t, "listed") {
 						listed[h.GetTicket().GetId()] = true
 						if rapid.Bool().Draw(t, "brief") {
-							brief = append(brief, h.GetTicket().GetId())
+							ticketsOnly = append(ticketsOnly, h.GetTicket().GetId())
 							continue
 						}
 						list = append(list, h)
 					}
 				}
-				s.Reconcile(now, inc, list, brief, byName)
+				s.Reconcile(now, inc, list, ticketsOnly, byName)
 				m.drop(func(h *wire.HeldSlot) bool {
 					return h.GetTicket().GetIncarnation() == inc && !listed[h.GetTicket().GetId()] && now.Sub(m.since[h]) > slots.ReconcileGrace
 				})
@@ -153,8 +154,8 @@
 	})
 }
 
-// A run that no entry ends by itself would hold its slot for ever: the sweep
-// frees it once no entry can still be running it.
+// If an entry never reports the end of a run, its slot would stay taken for ever. Sweep frees the
+// slot once no entry can still be running it.
 func TestSweep(t *testing.T) {
 	var s slots.Slots
 	u, now := upstr.New("a"), time.Unix(0, 0)
--- a/core/upstr/upstr.go
+++ b/core/upstr/upstr.go
@@ -1,4 +1,4 @@
-// Package upstr holds what a scheduler knows of one upstream.
+// Package upstr holds the state that a scheduler keeps for one upstream.
 package upstr
 
 import (
@@ -13,34 +13,34 @@
 	"azurelane/core/wire"
 )
 
-// Upstream is one announced upstream with the slots granted on it. The load in
-// its announcement is late; Running is exact, because its scheduler is the only
-// one that grants on it.
+// Upstream is one announced upstream with the slots granted on it. The load in its announcement is
+// out of date on arrival. Running is exact, because only the scheduler of the upstream grants slots
+// on it.
 type Upstream struct {
-	Running int       // Slots granted and not yet released.
-	announcedLimit   int       // As announced.
-	leaving bool      // As announced.
-	LeaseEnd time.Time // End of the lease.
+	Running        int       // Slots granted and not yet released.
+	announcedLimit int       // Limit on concurrent requests, as announced; see AnnouncedLimit.
+	leaving        bool      // As announced.
+	LeaseEnd       time.Time // Renewed by each announcement.
 	*wire.Announce
-	LongRunning   int           // Running slots of long work.
-	ReservedTokens int64         // Tokens of the requests in the running slots.
-	Observed limit.Limit   // From its own runs.
-	Cache  prefix.Prefix // What it has probably cached.
-	idHash   uint64
-	Meter  meter.Meter // Of the limit that it names.
+	LongRunning    int           // Running slots of long requests.
+	ReservedTokens int64         // Prompt and answer tokens of the requests in the running slots.
+	Observed       limit.Limit   // Speed, capacity and health, estimated from its own runs.
+	Cache          prefix.Prefix // Prompt prefixes that it has probably cached.
+	idHash         uint64        // Hash of its name.
+	Meter          meter.Meter   // Enforces the request rate that it announced.
 }
 
-// DefaultMaxRunning bounds an upstream that does not say how much it runs at once.
+// DefaultMaxRunning is the limit on concurrent requests of an upstream that announces none.
 const DefaultMaxRunning = 8
 
-// New returns an upstream that is known by name alone: it isn't live until it
-// announces itself.
+// New returns an upstream of which only the name is known. It is not live until it announces
+// itself.
 func New(name string) *Upstream {
 	return &Upstream{Announce: &wire.Announce{Upstream: name}, announcedLimit: DefaultMaxRunning, idHash: xxhash.Sum64String(name)}
 }
 
-// Update takes an announcement. What a decision needs of it is kept beside the
-// upstream's slots: a decision looks at every upstream.
+// Update applies an announcement. It copies the fields that decisions need into the Upstream,
+// because each decision looks at every upstream.
 func (u *Upstream) Update(now time.Time, a *wire.Announce) {
 	if u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
 		u.Observed.Return()
@@ -61,41 +61,42 @@
 	u.Cache.Told(now, a.GetCachedPrefixes())
 }
 
-// Live reports whether the upstream may be granted new work: its lease runs
-// and it is not leaving.
+// Live reports whether the upstream may be granted new work: its lease has not ended and it is not
+// leaving.
 func (u *Upstream) Live(now time.Time) bool {
 	return !u.leaving && now.Before(u.LeaseEnd)
 }
 
-// HasRoom reports whether it may be granted one more request now.
+// HasRoom reports whether the upstream may be granted one more request now.
 func (u *Upstream) HasRoom(now time.Time) bool {
 	return u.Running < u.EffectiveLimit(now) && u.Live(now) && u.Meter.CanSend(now)
 }
 
-// AnnouncedLimit is the number of requests that the upstream says it runs at once.
+// AnnouncedLimit returns the number of requests that the upstream says it runs at once, or
+// DefaultMaxRunning if it does not say.
 func (u *Upstream) AnnouncedLimit() int { return u.announcedLimit }
 
-// EffectiveLimit is the number of requests that it may be given at once, by what was
-// learnt of it.
+// EffectiveLimit returns the number of requests that the upstream may be given at once, according
+// to the runs observed so far.
 func (u *Upstream) EffectiveLimit(now time.Time) int { return u.Observed.Most(now, u.AnnouncedLimit()) }
 
-// HasModel reports whether the upstream serves the model. One that names no
-// models serves all, and a plain service's ticket names none.
+// HasModel reports whether the upstream serves the model. An upstream that names no models serves
+// all of them. The ticket of a plain service names no model, so every upstream serves it.
 func (u *Upstream) HasModel(model string) bool {
 	return model == "" || len(u.GetModels()) == 0 || slices.Contains(u.GetModels(), model)
 }
 
-// Eligible reports whether the upstream has the ticket's model and the request
-// has not failed to reach it before.
+// Eligible reports whether the upstream serves the ticket's model and is not on the ticket's list
+// of upstreams to avoid, which the request has failed to reach before.
 func (u *Upstream) Eligible(t *wire.Ticket) bool {
 	return u.HasModel(t.GetModel()) && !slices.Contains(t.GetAvoid(), u.GetUpstream())
 }
 
-// RendezvousWeight is the upstream's rendezvous weight for a prefix: the upstream with
-// the highest one is the prefix's home.
+// RendezvousWeight returns the weight of the upstream in rendezvous hashing of a prefix. The
+// upstream with the highest weight is the prefix's home.
 func (u *Upstream) RendezvousWeight(prefix uint64) uint64 {
-	// The finalizer of MurmurHash3 over both hashes: as even as hashing the
-	// names again, at a tenth of the time.
+	// The finalizer of MurmurHash3 over both hashes distributes as evenly as hashing the names
+	// again, in a tenth of the time.
 	h := u.idHash ^ prefix
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -1,4 +1,4 @@
-// Package usage tells how much client accounts used of late.
+// Package usage estimates the recent usage of client accounts.
 package usage
 
 import (
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// timeConstant is over what time use is averaged. It has to be long against the time
-// between two requests of an account at one entry, and short enough to follow a
-// tide of traffic.
+// timeConstant is the time constant of the exponential decay. It must be long compared with the
+// time between two requests of an account at one entry, and short enough to follow changes in
+// traffic.
 const timeConstant = 5 * time.Second
 
-// minObservation is the least time that use is averaged over: the first request alone
-// says nothing of a rate.
+// minObservation is the shortest time that usage is averaged over, because the first request alone
+// does not show a rate.
 const minObservation = time.Second
 
 type (
-	// Usage holds one fading count an account. The zero value is ready.
+	// Usage holds one exponentially decaying count per account. The zero value is ready to use.
 	Usage struct {
 		counts map[string]*decayingCount
 	}
 
 	decayingCount struct {
-		units float64
+		units     float64
 		startedAt time.Time
-		updatedAt    time.Time
+		updatedAt time.Time
 	}
 )
 
-// Add notes units that an account has used.
+// Add records units that an account has used.
 func (u *Usage) Add(now time.Time, account string, units int64) {
 	if u.counts == nil {
 		u.counts = map[string]*decayingCount{}
@@ -42,19 +42,19 @@
 	c.units += float64(units)
 }
 
-// Rate is the units a second that an account used of late.
+// Rate returns the recent usage of an account in units per second.
 func (u *Usage) Rate(now time.Time, account string) float64 {
 	c := u.counts[account]
 	if c == nil {
 		return 0
 	}
 	c.decay(now)
-	// What has faded by now of an even use since the first is missing in units.
-	seen := 1 - math.Exp(-max(now.Sub(c.startedAt), minObservation).Seconds()/timeConstant.Seconds())
-	return c.units / (timeConstant.Seconds() * seen)
+	// Under steady usage, units has reached this fraction of its final value since startedAt.
+	warmUp := 1 - math.Exp(-max(now.Sub(c.startedAt), minObservation).Seconds()/timeConstant.Seconds())
+	return c.units / (timeConstant.Seconds() * warmUp)
 }
 
-// Rates lists the units a second of all accounts that were used of late.
+// Rates returns the recent usage of all accounts that have used any units, in units per second.
 func (u *Usage) Rates(now time.Time) map[string]float64 {
 	rates := make(map[string]float64, len(u.counts))
 	for name := range u.counts {
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// An account has begun to use 100 units a second a moment ago. An entry that loses
-// the scheduler then must not take it for one that hardly uses anything.
-func TestRateOfOneThatHasJustBegun(t *testing.T) {
+// An account started a moment ago to use 100 units per second. An entry that loses the scheduler at
+// this moment must not estimate its usage as close to zero.
+func TestRateOfNewAccount(t *testing.T) {
 	var u Usage
 	start := time.Unix(1000, 0)
 	for i := range 40 {
@@ -20,8 +20,8 @@
 	must.Between(t, 90, u.Rate(start.Add(2*time.Second), "radio"), 110)
 }
 
-// An account uses 100 units a second, then 300, then nothing. The rate told
-// follows within some seconds, and an account that was never seen has none.
+// An account uses 100 units per second, then 300, then none. The estimate follows within seconds.
+// An account without usage has a rate of zero.
 func TestRate(t *testing.T) {
 	var u Usage
 	now := time.Unix(1000, 0)
--- a/io/gate/quota.go
+++ b/io/gate/quota.go
@@ -13,12 +13,12 @@
 // localQuota enforces the rates of client accounts while no scheduler is known. Each entry then
 // allows a share of every rate. The zero value is ready to use.
 type localQuota struct {
-	buckets    allow.Limiter  // Hold this entry's share of each rate.
-	used       usage.Usage  // Recent usage at this entry.
-	index      *index.Index // Configuration that the shares were computed from.
-	entries    int          // Number of entries that the shares were computed for.
-	standalone bool         // No scheduler was known at the last update.
-	toppedUpAt time.Time    // Last top-up of accounts after the loss of a scheduler.
+	buckets    allow.Limiter // Hold this entry's share of each rate.
+	used       usage.Usage   // Recent usage at this entry.
+	index      *index.Index  // Configuration that the shares were computed from.
+	entries    int           // Number of entries that the shares were computed for.
+	standalone bool          // No scheduler was known at the last update.
+	toppedUpAt time.Time     // Last top-up of accounts after the loss of a scheduler.
 }
 
 const (
