--- a/core/late/learn.go
+++ b/core/late/learn.go
@@ -40,7 +40,7 @@
 	case !r.GetDispatched():
 		l.queue.Correct(t.GetAccount(), -s.Work)
 		if r.GetFailed() {
-			u.Observed.Fail(now, "")
+			u.Observed.RecordFailure(now, "")
 		}
 		return
 	case r.GetFailed():
@@ -63,7 +63,7 @@
 		u.Cache.Wrong(t.GetPrefixHash())
 		s.PrefixCached = false
 	}
-	u.Observed.Done(now, prompt, answer, s.PrefixCached, first, total, u.Running+1, u.AnnouncedLimit())
+	u.Observed.RecordSuccess(now, prompt, answer, s.PrefixCached, first, total, u.Running+1, u.AnnouncedLimit())
 }
 
 // failed blames the account or the upstream. An account whose requests fail
@@ -78,17 +78,17 @@
 		l.blame.Fail(now, account, s.Upstream.GetUpstream())
 		return
 	}
-	s.Upstream.Observed.Fail(now, account)
-	if s.Upstream.Observed.Blameless(now) {
+	s.Upstream.Observed.RecordFailure(now, account)
+	if s.Upstream.Observed.AccountAtFault(now) {
 		l.blame.Fail(now, account, s.Upstream.GetUpstream())
 	}
 }
 
 // uncached reports whether a run shows that the prefix was not cached.
 func (l *Late) uncached(s *slot.Slot, prompt int64, first time.Duration) bool {
-	full := s.Upstream.Observed.Expect(prompt, 0, false) - s.Upstream.Observed.Expect(0, 0, false)
-	saved := full - (s.Upstream.Observed.Expect(prompt, 0, true) - s.Upstream.Observed.Expect(0, 0, true))
-	return first > 0 && saved > 0 && first > s.Upstream.Observed.Expect(0, 0, true)+time.Duration(wrongCache*float64(full))
+	full := s.Upstream.Observed.RunTime(prompt, 0, false) - s.Upstream.Observed.RunTime(0, 0, false)
+	saved := full - (s.Upstream.Observed.RunTime(prompt, 0, true) - s.Upstream.Observed.RunTime(0, 0, true))
+	return first > 0 && saved > 0 && first > s.Upstream.Observed.RunTime(0, 0, true)+time.Duration(wrongCache*float64(full))
 }
 
 // overdue takes an upstream out of service that holds a run for much longer
@@ -98,8 +98,8 @@
 func (l *Late) overdue(now time.Time) func(*slot.Slot) {
 	return func(s *slot.Slot) {
 		limit := overdueFactor*s.ExpectedRun + overdueGrace
-		if s.ExpectedRun > 0 && now.Sub(s.GrantedAt) > limit && now.Sub(s.Upstream.Observed.Good()) > limit {
-			s.Upstream.Observed.Out(now)
+		if s.ExpectedRun > 0 && now.Sub(s.GrantedAt) > limit && now.Sub(s.Upstream.Observed.LastSuccess()) > limit {
+			s.Upstream.Observed.StartOutage(now)
 		}
 	}
 }
--- a/core/late/sweep.go
+++ b/core/late/sweep.go
@@ -45,8 +45,8 @@
 			continue
 		}
 		l.live++
-		l.place.Alone = l.place.Alone && u.Observed.Trial()
-		e := u.Observed.Expect(prompt, answer, false)
+		l.place.Alone = l.place.Alone && u.Observed.OnTrial()
+		e := u.Observed.RunTime(prompt, answer, false)
 		if e <= 0 {
 			continue
 		}
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -13,9 +13,9 @@
 	"azurelane/core/slope"
 )
 
-// Limit is what is learnt of one upstream. The zero value knows nothing and
+// Profile is what is learnt of one upstream. The zero value knows nothing and
 // trusts the announced limit.
-type Limit struct {
+type Profile struct {
 	trial int     // Slots allowed while it comes back; zero when in service.
 	most  float64 // Requests at once; zero for as many as announced.
 
@@ -63,11 +63,11 @@
 func Cost(prompt, answer int64) float64 { return 1 + float64(prompt)/16 + float64(answer) }
 
 // Known reports whether a run has come back.
-func (l *Limit) Known() bool { return l.first.HasData() || l.whole.HasData() }
+func (l *Profile) Known() bool { return l.first.HasData() || l.whole.HasData() }
 
-// Expect is the time that a run takes from dispatch to its end, at the batch
+// RunTime is the time that a run takes from dispatch to its end, at the batch
 // sizes of late. It is zero while nothing is known.
-func (l *Limit) Expect(prompt, answer int64, cached bool) time.Duration {
+func (l *Profile) RunTime(prompt, answer int64, cached bool) time.Duration {
 	x, y := worked(prompt, cached), float64(answer)
 	s := l.first.At(x) + l.rest.At(y)
 	if !l.first.HasData() {
@@ -76,8 +76,8 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// Miss is the mean part by which Expect was missed, at most 1.
-func (l *Limit) Miss() float64 { return min(l.miss, 1) }
+// MeanError is the mean part by which Expect was missed, at most 1.
+func (l *Profile) MeanError() float64 { return min(l.miss, 1) }
 
 func worked(prompt int64, cached bool) float64 {
 	if cached {
@@ -86,11 +86,11 @@
 	return float64(prompt)
 }
 
-// Done learns from a whole run that took first to its first token and total to
+// RecordSuccess learns from a whole run that took first to its first token and total to
 // its last one, and brings an upstream on trial back by doubling what it gets.
 // First is zero when it isn't known, and equals total for an answer in one piece.
-func (l *Limit) Done(now time.Time, prompt, answer int64, cached bool, first, total time.Duration, running, announced int) {
-	if want := l.Expect(prompt, answer, cached).Seconds(); want > 0 {
+func (l *Profile) RecordSuccess(now time.Time, prompt, answer int64, cached bool, first, total time.Duration, running, announced int) {
+	if want := l.RunTime(prompt, answer, cached).Seconds(); want > 0 {
 		l.miss += gain * (math.Abs(total.Seconds()/want-1) - l.miss)
 	}
 	x := worked(prompt, cached)
@@ -119,7 +119,7 @@
 // crowd lowers the limit of an upstream that queues by itself, because it
 // announced more than it runs, and raises it again when its queue is gone. In
 // its own queue urgent work can't overtake, so work is better kept here.
-func (l *Limit) crowd(prompt float64, first, total time.Duration, running, announced int) {
+func (l *Profile) crowd(prompt float64, first, total time.Duration, running, announced int) {
 	per := first.Seconds() / (prompt + firstOffset)
 	if l.unit == 0 || per < l.unit {
 		l.unit = per
@@ -141,16 +141,16 @@
 	}
 }
 
-func (l *Limit) max(announced int) int {
+func (l *Profile) max(announced int) int {
 	if l.most == 0 {
 		return announced
 	}
 	return max(int(l.most), 1)
 }
 
-// Most is how many requests the upstream may be given at once: none while it
+// Concurrency is how many requests the upstream may be given at once: none while it
 // is out of service, few while it comes back.
-func (l *Limit) Most(now time.Time, announced int) int {
+func (l *Profile) Concurrency(now time.Time, announced int) int {
 	if l.trial > 0 {
 		if now.Before(l.until) {
 			return 0
@@ -160,38 +160,38 @@
 	return l.max(announced)
 }
 
-// Trial reports whether the upstream is out of service or on its way back.
-func (l *Limit) Trial() bool { return l.trial > 0 }
+// OnTrial reports whether the upstream is out of service or on its way back.
+func (l *Profile) OnTrial() bool { return l.trial > 0 }
 
-// Blameless reports whether the failures in a row all come from one client
+// AccountAtFault reports whether the failures in a row all come from one client
 // account and another run succeeded shortly before them. Then the account, and
 // not the upstream, is the likely cause.
-func (l *Limit) Blameless(now time.Time) bool {
+func (l *Profile) AccountAtFault(now time.Time) bool {
 	return !l.others && !l.good.IsZero() && now.Sub(l.good) < goodKeep
 }
 
-// Good is the time of the last success.
-func (l *Limit) Good() time.Time { return l.good }
+// LastSuccess is the time of the last success.
+func (l *Profile) LastSuccess() time.Time { return l.good }
 
-// Fail counts a run that failed. One account's failures weigh less than those
+// RecordFailure counts a run that failed. One account's failures weigh less than those
 // of several, so that an account whose requests break engines doesn't take
 // them from the others. The empty account stands for a failed connect, which
 // is no account's fault.
-func (l *Limit) Fail(now time.Time, account string) {
+func (l *Profile) RecordFailure(now time.Time, account string) {
 	if account == "" || (l.fails > 0 && account != l.who) {
 		l.others = true
 	}
 	l.who = account
 	l.fails++
 	if l.trial > 0 || (l.others && l.fails >= failsSeveral) || l.fails >= failsOne {
-		l.Out(now)
+		l.StartOutage(now)
 	}
 }
 
-// Out takes the upstream out of service for a while that doubles each time.
+// StartOutage takes the upstream out of service for a while that doubles each time.
 // Then one run at a time tries it. An outage that is under way isn't made
 // longer by the failures of what was dispatched before it.
-func (l *Limit) Out(now time.Time) {
+func (l *Profile) StartOutage(now time.Time) {
 	if l.trial > 0 && now.Before(l.until) {
 		return
 	}
@@ -200,8 +200,8 @@
 	l.trial = 1
 }
 
-// Return ends an outage early, for an upstream that was started anew. It is
+// EndOutage ends an outage early, for an upstream that was started anew. It is
 // still given one run at first.
-func (l *Limit) Return() {
+func (l *Profile) EndOutage() {
 	l.fails, l.others, l.until = 0, false, time.Time{}
 }
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -27,18 +27,18 @@
 func TestExpect(t *testing.T) {
 	for _, e := range []engine{{1e-5, 1e-3}, {5e-5, 5e-3}, {2e-4, 2e-2}, {2e-3, 1e-2}} {
 		for _, streamed := range []bool{true, false} {
-			var l limit.Limit
+			var l limit.Profile
 			for i := range int64(200) {
 				prompt, answer := 20+(i%7)*300, 8+(i%5)*200
 				first, total := e.run(prompt, answer)
 				if !streamed {
 					first = total
 				}
-				l.Done(start, prompt, answer, false, first, total, 1, 8)
+				l.RecordSuccess(start, prompt, answer, false, first, total, 1, 8)
 			}
 			for _, size := range []int64{20, 200, 2000} {
 				_, want := e.run(size, size/2)
-				got := l.Expect(size, size/2, false)
+				got := l.RunTime(size, size/2, false)
 				must.InDelta(t, 1, got.Seconds()/want.Seconds(), 0.5, must.Sprintf("%v streamed %t size %d: %v not %v", e, streamed, size, got, want))
 			}
 		}
@@ -60,9 +60,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var l limit.Limit
+			var l limit.Profile
 			for i := range 2000 {
-				running := min(l.Most(start, announced), i+1)
+				running := min(l.Concurrency(start, announced), i+1)
 				// The run waits until those before it have had their turns.
 				turns := float64(running-1) / float64(c.places)
 				if running <= c.places {
@@ -70,9 +70,9 @@
 				}
 				decode := answer * 0.005
 				first := 0.01 + turns*decode
-				l.Done(start, 100, answer, false, seconds(first), seconds(first+decode), running, announced)
+				l.RecordSuccess(start, 100, answer, false, seconds(first), seconds(first+decode), running, announced)
 			}
-			must.Between(t, c.low, l.Most(start, announced), c.top)
+			must.Between(t, c.low, l.Concurrency(start, announced), c.top)
 		})
 	}
 }
@@ -81,34 +81,34 @@
 // with one run when its pause is over, and gets twice as many with each
 // success. A failed trial doubles the pause.
 func TestOutAndBack(t *testing.T) {
-	var l limit.Limit
+	var l limit.Profile
 	for _, account := range []string{"a", "b", "a"} {
-		must.Eq(t, 16, l.Most(start, 16))
-		l.Fail(start, account)
+		must.Eq(t, 16, l.Concurrency(start, 16))
+		l.RecordFailure(start, account)
 	}
-	must.Eq(t, 0, l.Most(start.Add(900*time.Millisecond), 16))
-	must.Eq(t, 1, l.Most(start.Add(time.Second), 16))
-	l.Fail(start.Add(time.Second), "a")
-	must.Eq(t, 0, l.Most(start.Add(2900*time.Millisecond), 16))
+	must.Eq(t, 0, l.Concurrency(start.Add(900*time.Millisecond), 16))
+	must.Eq(t, 1, l.Concurrency(start.Add(time.Second), 16))
+	l.RecordFailure(start.Add(time.Second), "a")
+	must.Eq(t, 0, l.Concurrency(start.Add(2900*time.Millisecond), 16))
 	now := start.Add(3 * time.Second)
 	for _, want := range []int{1, 2, 4, 8, 16} {
-		must.Eq(t, want, l.Most(now, 16))
-		l.Done(now, 10, 10, false, time.Millisecond, 20*time.Millisecond, 1, 16)
+		must.Eq(t, want, l.Concurrency(now, 16))
+		l.RecordSuccess(now, 10, 10, false, time.Millisecond, 20*time.Millisecond, 1, 16)
 	}
-	must.False(t, l.Trial())
+	must.False(t, l.OnTrial())
 }
 
 // One account's failures alone weigh less, so that it doesn't take an upstream
 // from the others with its first few requests.
 func TestOneAccountFails(t *testing.T) {
-	var l limit.Limit
-	l.Done(start, 10, 10, false, time.Millisecond, 20*time.Millisecond, 1, 16)
+	var l limit.Profile
+	l.RecordSuccess(start, 10, 10, false, time.Millisecond, 20*time.Millisecond, 1, 16)
 	for range 5 {
-		l.Fail(start, "a")
-		must.True(t, l.Blameless(start))
+		l.RecordFailure(start, "a")
+		must.True(t, l.AccountAtFault(start))
 	}
-	must.Eq(t, 16, l.Most(start, 16))
-	l.Fail(start, "b")
-	must.False(t, l.Blameless(start))
-	must.Eq(t, 0, l.Most(start, 16))
+	must.Eq(t, 16, l.Concurrency(start, 16))
+	l.RecordFailure(start, "b")
+	must.False(t, l.AccountAtFault(start))
+	must.Eq(t, 0, l.Concurrency(start, 16))
 }
--- a/core/place/place.go
+++ b/core/place/place.go
@@ -118,7 +118,7 @@
 func (p Place) weigh(now time.Time, u *upstr.Upstream, i *item.Item) choice {
 	c := choice{up: u, weight: u.RendezvousWeight(i.GetPrefixHash())}
 	c.cached = i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash())
-	c.expect = u.Observed.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
+	c.expect = u.Observed.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), c.cached)
 	run := c.expect
 	if !u.Observed.Known() {
 		run = p.Usual
@@ -135,8 +135,8 @@
 // judgement of deadlines: without the belief in a cache, which may be wrong,
 // and with the preset's margin. It is zero while nothing is known.
 func (p Place) Safe(u *upstr.Upstream, t *wire.Ticket) time.Duration {
-	run := u.Observed.Expect(t.GetPromptTokens(), t.GetAnswerTokens(), false)
-	return time.Duration(float64(run) * (1 + p.Margin*u.Observed.Miss()))
+	run := u.Observed.RunTime(t.GetPromptTokens(), t.GetAnswerTokens(), false)
+	return time.Duration(float64(run) * (1 + p.Margin*u.Observed.MeanError()))
 }
 
 // worthwhile bounds what the cache may cost: near must not be much later than
@@ -170,7 +170,7 @@
 		return false
 	}
 	// An upstream that comes back isn't tried with an alert while there is another.
-	return !u.Observed.Trial() || i.Level() > 0 || p.Alone
+	return !u.Observed.OnTrial() || i.Level() > 0 || p.Alone
 }
 
 func filled(now time.Time, u *upstr.Upstream) float64 {
--- a/core/place/place_test.go
+++ b/core/place/place_test.go
@@ -36,7 +36,7 @@
 		prompt, answer := 50+n*40, 10+n%7*30
 		first := time.Duration(slow * 100 * float64(prompt) * float64(time.Microsecond))
 		total := first + time.Duration(slow*float64(answer)*float64(time.Millisecond))
-		u.Observed.Done(start, prompt, answer, false, first, total, 1, int(running))
+		u.Observed.RecordSuccess(start, prompt, answer, false, first, total, 1, int(running))
 	}
 	return u
 }
@@ -140,7 +140,7 @@
 				(i.Deadline.IsZero() || !start.Add(p.Safe(u, i.Ticket)).After(i.Deadline))
 		}
 		at := func(u *upstr.Upstream) float64 {
-			run := u.Observed.Expect(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
+			run := u.Observed.RunTime(i.GetPromptTokens(), i.GetAnswerTokens(), i.GetPrefixHash() != 0 && u.Cache.Has(i.GetPrefixHash()))
 			return run.Seconds() * (1 + 0.5*float64(u.Running)/4)
 		}
 		s, _ := p.Pick(start, open, i, short, "")
@@ -160,7 +160,7 @@
 func TestTrial(t *testing.T) {
 	p := preset(t, place.Goodput)
 	ups := []*upstr.Upstream{newUp(0, 1, 4)}
-	ups[0].Observed.Out(start)
+	ups[0].Observed.StartOutage(start)
 	now := start.Add(2 * time.Second)
 	alert := request(0)
 	alert.Tier = wire.Tier_TIER_URGENT
--- a/core/upstr/upstr.go
+++ b/core/upstr/upstr.go
@@ -24,7 +24,7 @@
 	*wire.Announce
 	LongRunning    int           // Running slots of long requests.
 	ReservedTokens int64         // Prompt and answer tokens of the requests in the running slots.
-	Observed       limit.Limit   // Speed, capacity and health, estimated from its own runs.
+	Observed       limit.Profile   // Speed, capacity and health, estimated from its own runs.
 	Cache          prefix.Prefix // Prompt prefixes that it has probably cached.
 	idHash         uint64        // Hash of its name.
 	Meter          meter.Meter   // Enforces the request rate that it announced.
@@ -43,7 +43,7 @@
 // because each decision looks at every upstream.
 func (u *Upstream) Update(now time.Time, a *wire.Announce) {
 	if u.GetIncarnation() != "" && u.GetIncarnation() != a.GetIncarnation() {
-		u.Observed.Return()
+		u.Observed.EndOutage()
 		u.Meter.Unlimit()
 	}
 	if l := a.GetLimit(); l != nil {
@@ -78,7 +78,7 @@
 
 // EffectiveLimit returns the number of requests that the upstream may be given at once, according
 // to the runs observed so far.
-func (u *Upstream) EffectiveLimit(now time.Time) int { return u.Observed.Most(now, u.AnnouncedLimit()) }
+func (u *Upstream) EffectiveLimit(now time.Time) int { return u.Observed.Concurrency(now, u.AnnouncedLimit()) }
 
 // HasModel reports whether the upstream serves the model. An upstream that names no models serves
 // all of them. The ticket of a plain service names no model, so every upstream serves it.
