--- a/core/batch/batch.go
+++ b/core/batch/batch.go
@@ -167,7 +167,7 @@
 	b.slots.Cancel(now, w.GetIncarnation(), w.GetTicket())
 }
 
-// Hold records the slots of this pool that an entry reports as held. See slots.Hold.
+// Hold records the slots of this pool that an entry reports as held. See slots.Reconcile.
 func (b *Batch) Hold(now time.Time, h *wire.Held) {
 	var list []*wire.HeldSlot
 	for _, s := range h.GetSlots() {
--- a/io/ctrl/ctrl.go
+++ b/io/ctrl/ctrl.go
@@ -52,7 +52,7 @@
 		Centre    string           // Data centre, where the group forms itself.
 		Bootstrap bool             // Found a group if all other replicas are empty too.
 		After     uint64           // With Bootstrap: the configuration version to go on from.
-		Election  time.Duration    // Silence before another leads, the same at all replicas; zero for raft.Election.
+		Election  time.Duration    // Silence before another leads, the same at all replicas; zero for raft.DefaultElectionTimeout.
 		Leaseless bool             // All reads go through the log, at all replicas of the group.
 		Sender    sender
 		Log       logr.Logger
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// Owner returns the member that schedules a pool; for a local policy it is
-// this entry.
+// Owner returns the member that schedules a pool; for a policy that runs at
+// every entry it is this entry.
 func (e *Entry) Owner(pool string) *wire.Member {
 	if e.local(pool) {
 		return e.member.Self
--- a/io/gate/gate.go
+++ b/io/gate/gate.go
@@ -61,7 +61,7 @@
 		retryAges       map[string]*reqage.Estimator // By route; estimate how long ago callers first tried.
 	}
 
-	// clusterState is this entry's view of the deployment; see watch.Watch.
+	// clusterState is this entry's view of the deployment; see watch.Watcher.
 	clusterState interface {
 		View() *watch.View
 		Configured() <-chan struct{}
--- a/io/relay/relay.go
+++ b/io/relay/relay.go
@@ -25,7 +25,7 @@
 	// Relay forwards announcements, and keeps the latest one of each upstream that announced itself
 	// to this process. Its exported fields are set before use.
 	Relay struct {
-		Owners  func(pool string) []*wire.Member // Owners of one pool; several under a local policy.
+		Owners  func(pool string) []*wire.Member // Owners of one pool; several if its policy runs at every entry.
 		Alive   func() []*wire.Member            // All live members.
 		Mesh    caller
 		Deliver func(*wire.Announce) // Hands an announcement to the schedulers of this process.
